--- a/Source/Process/Scheduling/AllotmentLedger.h
+++ b/Source/Process/Scheduling/AllotmentLedger.h
@@ -1,26 +1,28 @@
 #pragma once
 /// \file
-/// What customers have used of their allotments, counted where their requests
-/// are decided. Pure: the time is an argument.
+/// Accounts for what customers have used of their allotments, at the keeper
+/// that decides on their requests. The code is free of I/O; the current time is
+/// passed in.
 ///
-/// Load pattern: one customer sends many times its usual, small requests and
-/// large ones of all tiers. A bucket fills at a rate up to a burst, and a
-/// request takes its cost out of it. Where the platform tolerates more than the
-/// allotment within a window, most of that is given out: what is refused within
-/// the tolerance is work lost for no one's gain.
+/// Load pattern: one customer sends many times its usual load, small and large
+/// requests of all tiers. The allotment is a token bucket that fills at a rate
+/// up to a burst size, and each request takes its cost from it. Where the
+/// platform tolerates more than the allotment within a window, most of the
+/// tolerance is used: refusing within it loses work without benefit to anyone.
 ///
 /// The tolerance has a bucket of its own, and lower tiers leave room in both
-/// for the largest request of the highest one. In one bucket the smallest
-/// requests, which always fit, leave no room for a large one, whatever its
-/// tier, and one within the allotment is refused for what others took beyond
-/// it, with engines idle.
+/// buckets for the largest request of the highest tier. With a single bucket,
+/// the smallest requests, which always fit, leave no room for a large one of
+/// any tier. A request within the allotment is then refused because of what
+/// others took beyond it, while engines are idle.
 ///
-/// A request that is larger than the allotment's bucket takes out of both:
-/// where many keepers have a part each, it would be refused for ever.
+/// A request that is larger than the allotment's bucket takes from both: where
+/// many keepers have a share each, it would otherwise never be admitted.
 ///
-/// A new keeper knows nothing of what an earlier one let through, maybe a
-/// whole burst just before: its buckets begin empty when it begins to count, so
-/// that however often keepers change, the rate is all that is added.
+/// A new keeper does not know what an earlier one admitted, which may be a
+/// whole burst just before. Its buckets therefore start empty at the time it
+/// starts counting, so that any number of keeper changes adds no more than the
+/// rate.
 
 #include "Common/Ids.h"
 #include "Version/Document.h"
@@ -36,68 +38,74 @@
   using TimePoint = std::chrono::steady_clock::time_point;
 
   struct Options {
-    /// Within this time the customer may use what its rate gives and its burst,
-    /// and more by the two tolerances.
+    /// Within this window the customer may use what its rate and its burst
+    /// allow, plus the two tolerances.
     std::chrono::milliseconds Window_{8000};
-    double Overrun_ = 0; ///< As a part of the allotment.
-    double Credit_ = 0;  ///< On top of that, in the allotment's unit.
+    double Overrun_ = 0; ///< As a fraction of the allotment.
+    double Credit_ = 0;  ///< Added to the overrun, in the allotment's unit.
   };
 
-  /// \p Started: when the keeper began to count.
+  /// \param Started the time at which this keeper started to count.
   AllotmentLedger(Options Settings, TimePoint Started)
       : Options_(Settings), Started_(Started) {}
 
-  /// What a request is charged with.
+  /// The charge for a request.
   struct Charge {
     RequestId Id_;
     CustomerName Customer_;
     double Cost_ = 0; ///< In the allotment's unit.
-    /// It is not of the highest tier: it leaves room for a large request.
+    /// The request is not of the highest tier and must leave room for a large
+    /// one of it.
     bool LeavesRoom_ = false;
   };
 
-  /// Counts the request's cost against the customer's allotment, of which this
-  /// keeper may use the part \p Share. \returns false when it is spent.
-  bool take(const Charge &Asked, const Allotment &Allowed, double Share,
+  /// Charges the request's cost to the customer's allotment, of which this
+  /// keeper may use the fraction \p Share. \returns false, without charging
+  /// anything, when too little is left.
+  bool take(const Charge &Request, const Allotment &Allowed, double Share,
             TimePoint Now);
-  /// After how long a request that was refused just now would fit, if nothing
-  /// else is taken meanwhile; the window when it never would.
+  /// \returns the time after which a request that was just refused would fit if
+  /// nothing else is charged meanwhile; the whole window if it would never fit.
   std::chrono::milliseconds
-  fitsIn(const Charge &Asked, const Allotment &Allowed, double Share) const;
-  /// The request was granted: its cost is used.
+  fitsIn(const Charge &Request, const Allotment &Allowed, double Share) const;
+  /// Makes the charge of a granted request final.
   void used(const RequestId &Id) { Open_.erase(Id); }
-  /// The request was not granted: its cost does not count.
+  /// Refunds the charge of a request that was not granted.
   void giveBack(const RequestId &Id);
-  /// Begins anew: another daemon counted until now.
+  /// Starts again with empty buckets, because another daemon has counted until
+  /// now.
   void restart(TimePoint Now);
 
 private:
-  /// How fast a bucket fills, and how much it holds.
+  /// Fill rate and capacity of a bucket.
   struct Flow {
     double PerSecond_;
     double Most_;
   };
-  /// What is left in the two buckets, or taken out of them.
+  /// The levels of the two buckets, or an amount taken from each.
   struct Levels {
     double Allotted_ = 0;
     double Tolerated_ = 0;
   };
   Flow allotted(const Allotment &Allowed, double Share) const;
   Flow tolerated(const Allotment &Allowed, double Share) const;
-  /// What the bucket of the allotment can't hold goes into the other one.
-  static Levels filled(const Levels &Left, const Flow &Own, const Flow &More,
-                       double Seconds);
-  /// What the request takes out of each bucket; nothing when it does not fit.
-  static std::optional<Levels> fit(const Levels &Left, double Cost, double Kept,
-                                   const Flow &Own, const Flow &More);
+  /// Fills both buckets for \p Seconds; what overflows the allotment's bucket
+  /// goes into the tolerance's.
+  static Levels filled(const Levels &Left, const Flow &Regular,
+                       const Flow &Tolerance, double Seconds);
+  /// \returns the amount that the request takes from each bucket, or nothing if
+  /// it does not fit.
+  static std::optional<Levels> fit(const Levels &Left, double Cost,
+                                   double Reserved, const Flow &Regular,
+                                   const Flow &Tolerance);
 
   struct Account {
     Levels Left_;
-    double Largest_ = 0; ///< Cost of the largest request of late.
+    double Largest_ = 0; ///< Decaying cost of the largest recent request.
     TimePoint Filled_;
   };
-  static double noteCost(Account &Target, const Charge &Asked,
-                         std::chrono::duration<double> Since);
+  static double noteCost(Account &Target, const Charge &Request,
+                         std::chrono::duration<double> Elapsed);
   struct Taken {
     CustomerName Customer_;
     Levels Cost_;
@@ -106,7 +114,7 @@
   Options Options_;
   TimePoint Started_;
   std::unordered_map<CustomerName, Account> Accounts_;
-  /// Requests that are neither granted nor refused yet.
+  /// Charges of requests that are neither granted nor refused yet.
   std::unordered_map<RequestId, Taken> Open_;
 };
 
--- a/Source/Process/Scheduling/EngineSpeed.cpp
+++ b/Source/Process/Scheduling/EngineSpeed.cpp
@@ -6,19 +6,20 @@
 
 namespace {
 
-/// Before anything was seen an engine is taken for a quick one: it is tried,
-/// and the first answers tell. Reading 100 tokens takes a millisecond on the
-/// quicker engines in use.
+/// An engine without samples is assumed to be a fast one, so that it is tried
+/// and its first answers can be measured. The faster engines in use read 100
+/// tokens in a millisecond.
 constexpr double AssumedNanosPerToken = 10000;
-/// What earlier samples keep of their weight: some thirty count.
-constexpr double KeptWeight = 0.97;
-/// Of what other engines of the pool are like, so many samples are assumed.
-constexpr double AssumedSamples = 3;
-/// Two prompt lengths that the assumed samples stand for.
+/// Decay of the weight of earlier samples for each new one: about the last
+/// thirty count.
+constexpr double SampleDecay = 0.97;
+/// Number of samples that the assumed speed of the pool counts for.
+constexpr double AssumedSampleCount = 3;
+/// The assumed samples have prompts of length 0 and of this length.
 constexpr double AssumedLength = 4000;
-/// So many earlier streamed tokens count beside the newest stream: those of a
-/// second or two of a full engine.
-constexpr double StreamMemory = 2000;
+/// Maximum number of earlier streamed tokens that count beside the newest
+/// stream: those of a second or two of a fully loaded engine.
+constexpr double MaxEarlierTokens = 2000;
 
 } // namespace
 
@@ -30,21 +31,22 @@
   XY_ += Weight * X * Y;
 }
 
-void EngineSpeed::Line::fade(double Kept) {
+void EngineSpeed::Line::fade(double Factor) {
   for (double *Sum : {&Weight_, &X_, &Y_, &XX_, &XY_})
-    *Sum *= Kept;
+    *Sum *= Factor;
 }
 
 void EngineSpeed::firstToken(Tokens Unread, Nanos Delay) {
-  Line_.fade(KeptWeight);
+  Line_.fade(SampleDecay);
   Line_.add(static_cast<double>(Unread.count()),
             static_cast<double>(Delay.count()), 1);
   ++Samples_;
   fit();
 }
 
-/// With prompts of one length nothing tells the fixed part from the part of
-/// each token: then all of the delay counts for the tokens.
+/// Fits the fixed time and the time per token. Samples of a single prompt
+/// length cannot separate the two, so the whole delay is then attributed to the
+/// tokens.
 void EngineSpeed::fit() {
   double Spread = Line_.Weight_ * Line_.XX_ - Line_.X_ * Line_.X_;
   double Mean = Line_.Y_ / Line_.Weight_;
@@ -52,20 +54,23 @@
   double PerToken =
       Spread <= 0 ? 0
                   : (Line_.Weight_ * Line_.XY_ - Line_.X_ * Line_.Y_) / Spread;
-  double Most = MeanLength > 0 ? Mean / MeanLength : 0;
+  double MaxPerToken = MeanLength > 0 ? Mean / MeanLength : 0;
   bool OneLength = Spread <= Line_.Weight_ * Line_.Weight_;
-  NanosPerToken_ = OneLength ? Most : std::clamp(PerToken, 0.0, Most);
+  NanosPerToken_ =
+      OneLength ? MaxPerToken : std::clamp(PerToken, 0.0, MaxPerToken);
   FixedNanos_ = std::max(0.0, Mean - NanosPerToken_ * MeanLength);
 }
 
-/// Streams count by their tokens: of many short answers none tells much.
+/// Weighs streams by their number of tokens, since a short answer says little
+/// about the speed.
 void EngineSpeed::stream(Tokens Count, Nanos Time) {
   if (Count.count() <= 0)
     return;
-  auto New = static_cast<double>(Count.count());
-  double Kept = std::min(1.0, StreamMemory / std::max(1.0, StreamTokens_));
-  StreamTokens_ = StreamTokens_ * Kept + New;
-  StreamNanos_ = StreamNanos_ * Kept + static_cast<double>(Time.count());
+  auto NewTokens = static_cast<double>(Count.count());
+  double Factor =
+      std::min(1.0, MaxEarlierTokens / std::max(1.0, StreamTokens_));
+  StreamTokens_ = StreamTokens_ * Factor + NewTokens;
+  StreamNanos_ = StreamNanos_ * Factor + static_cast<double>(Time.count());
 }
 
 EngineSpeed::Nanos EngineSpeed::betweenTokens() const {
@@ -80,7 +85,7 @@
   Line_ = Line();
   for (double Length : {0.0, AssumedLength})
     Line_.add(Length, Typical.FixedNanos_ + Typical.NanosPerToken_ * Length,
-              AssumedSamples / 2);
+              AssumedSampleCount / 2);
   fit();
   constexpr double AssumedTokens = 50;
   StreamTokens_ = AssumedTokens;
@@ -98,10 +103,10 @@
 }
 
 Tokens EngineSpeed::readable(Nanos Time) const {
-  // No engine reads so quickly that a prompt of any length takes no time.
-  constexpr double LeastNanosPerToken = 1;
+  // Bounds the result when the fitted time per token is zero.
+  constexpr double MinNanosPerToken = 1;
   double Count = static_cast<double>(std::max(Time, Nanos(0)).count()) /
-                 std::max(LeastNanosPerToken, nanosPerToken());
+                 std::max(MinNanosPerToken, nanosPerToken());
   return Tokens(static_cast<std::int64_t>(Count));
 }
 
--- a/Source/Process/Scheduling/EngineSpeed.h
+++ b/Source/Process/Scheduling/EngineSpeed.h
@@ -1,13 +1,13 @@
 #pragma once
 /// \file
-/// How fast one engine is: what it takes for prompts, and between tokens.
-/// Learned from what its requests were seen to take. Pure.
+/// Speed of one engine, learned from its requests: the time for reading prompts
+/// and the time between tokens. The code is free of I/O.
 ///
 /// Load pattern: engines of one pool that differ threefold in speed. A first
 /// token takes a fixed time plus a time for each prompt token that the engine
-/// still has to read; taken for one product, the fixed part hides the
-/// difference between a quick and a slow engine for short prompts, and long
-/// prompts then go to engines that read them too late.
+/// still has to read. If both were modeled as a single time per token, the
+/// fixed time would hide the difference between a fast and a slow engine for
+/// short prompts, and long prompts would go to engines that read them too late.
 
 #include "Common/Ids.h"
 
@@ -19,24 +19,25 @@
 public:
   using Nanos = std::chrono::nanoseconds;
 
-  /// A first token came \p Delay after its request was sent, while the engine
-  /// had \p Unread prompt tokens to read, this request's own included.
+  /// Records that a first token came \p Delay after its request was sent, while
+  /// the engine had \p Unread prompt tokens to read, including those of this
+  /// request.
   void firstToken(Tokens Unread, Nanos Delay);
-  /// \p Count tokens after the first one came within \p Time.
+  /// Records that \p Count tokens after the first one came within \p Time.
   void stream(Tokens Count, Nanos Time);
-  /// Takes over what engines of the same pool are like, until this one's own
-  /// samples say more.
+  /// Assumes the speed \p Typical of the same pool until this engine's own
+  /// samples outweigh it.
   void assume(const EngineSpeed &Typical);
 
-  /// True once something was seen or assumed.
+  /// True once a speed was measured or assumed.
   bool known() const { return StreamTokens_ > 0; }
-  /// Time until the first token, with \p Unread prompt tokens to read.
+  /// Expected time until the first token, with \p Unread prompt tokens to read.
   Nanos untilFirstToken(Tokens Unread) const;
-  /// Time for reading \p Unread prompt tokens.
+  /// Expected time for reading \p Unread prompt tokens.
   Nanos reading(Tokens Unread) const;
-  /// The longest prompt that is read within \p Time.
+  /// The longest prompt that the engine reads within \p Time.
   Tokens readable(Nanos Time) const;
-  /// 0 while nothing is known.
+  /// Expected time between tokens; 0 while unknown.
   Nanos betweenTokens() const;
 
 private:
@@ -50,7 +51,7 @@
     double XY_ = 0;
 
     void add(double X, double Y, double Weight);
-    void fade(double Kept);
+    void fade(double Factor);
   };
   void fit();
   double nanosPerToken() const;
@@ -58,8 +59,8 @@
   Line Line_;
   double FixedNanos_ = 0;
   double NanosPerToken_ = 0;
-  /// Of streams: tokens after the first ones and the nanoseconds that they
-  /// took; older ones weigh less.
+  /// Streamed tokens after the first ones, and the nanoseconds that they took;
+  /// older ones weigh less.
   double StreamTokens_ = 0;
   double StreamNanos_ = 0;
   int Samples_ = 0;
--- a/Source/Process/Scheduling/PrefixIndex.cpp
+++ b/Source/Process/Scheduling/PrefixIndex.cpp
@@ -9,10 +9,11 @@
 
 namespace {
 constexpr std::int64_t BytesPerToken = 4;
-/// An engine is never thought to hold less than this.
+/// Lower bound of the assumed capacity.
 constexpr std::size_t MinBlocks = 64;
-/// The thought capacity grows by this part while nothing is evicted.
-constexpr std::size_t GrowthPart = 8;
+/// The assumed capacity grows by one part in this many while nothing is
+/// evicted.
+constexpr std::size_t GrowthDivisor = 8;
 constexpr std::size_t BlockBytes = BlockTokens * BytesPerToken;
 } // namespace
 
@@ -35,7 +36,7 @@
   for (const PromptPart &Part : Parts) {
     Length += Part.Length_.count();
     Before = stableHash(std::to_string(Part.Id_), Before);
-    // A block that two parts share belongs to the later one.
+    // A block that spans two parts belongs to the later one.
     while (Covered + BlockTokens <= Length) {
       Covered += BlockTokens;
       Hashes.push_back(stableHash(std::to_string(Covered), Before));
@@ -50,8 +51,8 @@
 }
 
 void PrefixIndex::insert(std::span<const std::uint64_t> Prefix) {
-  // The last block goes in first, so that the first one, which every longer
-  // prefix needs, is the last of them to be evicted.
+  // The last block is inserted first, so that the first block, which every
+  // longer prefix needs, is evicted last.
   std::for_each(Prefix.rbegin(), Prefix.rend(),
                 [this](std::uint64_t Block) { touch(Block); });
   dropOldest();
@@ -89,7 +90,7 @@
 void PrefixIndex::nothingEvicted() {
   bool Full = ByHash_.size() >= MaxBlocks_;
   if (Full)
-    MaxBlocks_ = std::min(Ceiling_, MaxBlocks_ + MaxBlocks_ / GrowthPart);
+    MaxBlocks_ = std::min(Ceiling_, MaxBlocks_ + MaxBlocks_ / GrowthDivisor);
 }
 
 void PrefixIndex::clear() {
--- a/Source/Process/Scheduling/PrefixIndex.h
+++ b/Source/Process/Scheduling/PrefixIndex.h
@@ -1,7 +1,8 @@
 #pragma once
 /// \file
-/// Which blocks of prompts an engine has likely cached, from what was sent to
-/// it and from its cache events. A wrong entry only costs time.
+/// An index of the prompt blocks that an engine has likely cached, learned from
+/// the requests sent to it and from its cache events. A wrong entry costs only
+/// time.
 
 #include "Common/Ids.h"
 
@@ -14,22 +15,22 @@
 
 namespace samphireshunt {
 
-/// Tokens in one block of a prompt.
+/// Number of tokens in one block of a prompt.
 inline constexpr std::int64_t BlockTokens = 64;
 
-/// The hash of each whole block of the prompt, each over all text before its
-/// end: equal hashes mean equal prefixes.
+/// Computes a hash for each whole block of the prompt, over all text up to the
+/// end of the block: equal hashes mean equal prefixes.
 std::vector<std::uint64_t> prefixHashes(std::string_view Prompt);
-/// A part of a prompt that other prompts may begin with too; parts stand in
-/// order.
+/// A part of a prompt that other prompts may begin with too. Parts are listed
+/// in prompt order.
 struct PromptPart {
   std::uint64_t Id_ = 0;
   Tokens Length_;
 };
-/// The same for a prompt of which only its parts are known.
+/// Computes the hashes for a prompt of which only the parts are known.
 std::vector<std::uint64_t> prefixHashes(std::span<const PromptPart> Parts);
-/// A prompt's length in tokens, as far as that can be told without the
-/// model's tokenizer: four bytes to a token.
+/// Estimates the length of a prompt in tokens without the model's tokenizer, at
+/// four bytes per token.
 Tokens estimateTokens(std::string_view Prompt);
 
 class PrefixIndex {
@@ -38,13 +39,15 @@
       : Ceiling_(MaxBlocks), MaxBlocks_(MaxBlocks) {}
 
   void insert(std::span<const std::uint64_t> Prefix);
-  /// The engine evicted these blocks, since its cache was full: what is left
-  /// is about what it can hold, and more is not believed from now on.
+  /// Removes blocks that the engine evicted because its cache was full. The
+  /// number of remaining blocks is about the engine's capacity and becomes the
+  /// limit.
   void evicted(std::span<const std::uint64_t> Blocks);
-  /// The engine evicted nothing lately: it may hold more than was thought.
+  /// Raises the limit because the engine evicted nothing recently: it may hold
+  /// more than was assumed.
   void nothingEvicted();
   void clear();
-  /// How many leading blocks of \p Prefix are cached.
+  /// \returns the number of leading blocks of \p Prefix that are cached.
   std::size_t cachedBlocks(std::span<const std::uint64_t> Prefix) const;
   bool contains(std::uint64_t Block) const { return ByHash_.contains(Block); }
   std::size_t size() const { return ByHash_.size(); }
--- a/Source/Process/Scheduling/Scheduler.cpp
+++ b/Source/Process/Scheduling/Scheduler.cpp
@@ -15,7 +15,7 @@
 constexpr milliseconds MinRetryAfter{500};
 constexpr milliseconds MaxRetryAfter{30000};
 
-/// What a request costs its customer in the share of its tier.
+/// \returns the cost of a request in its customer's share of the tier.
 double tokenCost(const AskedRequest &Request) {
   auto Cost = (Request.Prompt_ + Request.Answer_).count();
   return static_cast<double>(std::max<std::int64_t>(1, Cost));
@@ -30,7 +30,7 @@
 void Scheduler::configure(std::vector<ServerCapacity> Servers,
                           std::map<CustomerName, CustomerShare> Customers,
                           std::uint32_t TierCount, std::size_t MaxWaiting) {
-  std::map<ServerName, ServerModel> Next;
+  std::map<ServerName, ServerModel> NextServers;
   for (const ServerCapacity &Capacity : Servers) {
     auto Known = Servers_.find(Capacity.Name_);
     auto Model = Known == Servers_.end() ? ServerModel(Capacity)
@@ -38,21 +38,22 @@
     Model.configure(Capacity);
     if (Known == Servers_.end())
       Model.assume(Typical_);
-    Next.emplace(Capacity.Name_, std::move(Model));
+    NextServers.emplace(Capacity.Name_, std::move(Model));
   }
-  Servers_ = std::move(Next);
+  Servers_ = std::move(NextServers);
   Shares_ = std::move(Customers);
   Options_.MaxWaiting_ = MaxWaiting;
-  // Requests that wait in a tier that the document no longer has keep their
+  // Requests that wait in a tier that the document no longer has stay in their
   // queue until they are served or expire.
   if (TierCount > Tiers_.size())
     addTiers(TierCount);
 }
 
-/// An entry may know of a new, lowest tier before its keeper does: what it asks
-/// for waits in the lowest queue that there is. It is moved to its own queue
-/// with the tier: looked for there while it stands in the other, it would be
-/// found in neither, and the exception of the map would end the process.
+/// Adds queues for new tiers. An ingress daemon may learn of a new, lowest tier
+/// before its keeper does; its requests then wait in the lowest queue that
+/// exists. They are moved to their own queue when the tier is added. Otherwise
+/// they would be looked up in the new queue while they are in the old one, and
+/// the failed lookup would throw an exception that ends the process.
 void Scheduler::addTiers(std::uint32_t Count) {
   std::vector<RequestId> Ids;
   for (const auto &[Id, Request] : Waiting_)
@@ -78,34 +79,34 @@
 }
 
 void Scheduler::enqueue(WaitingRequest Request) {
-  const AskedRequest &Asked = Request.Asked_;
-  TierQueue &Tier = Tiers_[queueIndex(Asked.Tier_)];
+  const AskedRequest &Details = Request.Asked_;
+  TierQueue &Tier = Tiers_[queueIndex(Details.Tier_)];
   CustomerName Name =
-      Options_.FairCustomers_ ? Asked.Customer_ : CustomerName();
+      Options_.FairCustomers_ ? Details.Customer_ : CustomerName();
   CustomerQueue &Queue = Tier.Customers_[Name];
   if (Queue.Requests_.empty()) {
-    // A customer that was away has no claim to what it did not use.
+    // A customer that had no requests has no claim to what it did not use.
     if (!Tier.Active_.empty())
       Queue.ServedTokens_ =
           std::max(Queue.ServedTokens_, Tier.Active_.begin()->first);
     Tier.Active_.emplace(Queue.ServedTokens_, Name);
   }
   Queue.Requests_.emplace(Request.Standing_.Urgency_, Request.Arrival_,
-                          Asked.Id_);
+                          Details.Id_);
   ++Tier.Count_;
   Tier.LateCount_ += Request.Standing_.Late_ ? 1 : 0;
-  ByLatestStart_.emplace(Request.LatestStart_, Asked.Id_);
-  RequestId Id = Asked.Id_;
+  ByLatestStart_.emplace(Request.LatestStart_, Details.Id_);
+  RequestId Id = Details.Id_;
   Waiting_.emplace(Id, std::move(Request));
 }
 
 Scheduler::WaitingRequest Scheduler::dequeue(const RequestId &Id) {
   auto Node = Waiting_.extract(Id);
   WaitingRequest Request = std::move(Node.mapped());
-  const AskedRequest &Asked = Request.Asked_;
-  TierQueue &Tier = Tiers_[queueIndex(Asked.Tier_)];
+  const AskedRequest &Details = Request.Asked_;
+  TierQueue &Tier = Tiers_[queueIndex(Details.Tier_)];
   CustomerName Name =
-      Options_.FairCustomers_ ? Asked.Customer_ : CustomerName();
+      Options_.FairCustomers_ ? Details.Customer_ : CustomerName();
   CustomerQueue &Queue = Tier.Customers_[Name];
   Queue.Requests_.erase({Request.Standing_.Urgency_, Request.Arrival_, Id});
   --Tier.Count_;
@@ -118,22 +119,23 @@
 
 std::vector<Decision> Scheduler::ask(AskedRequest Request, TimePoint Now) {
   std::vector<Decision> Out;
-  // The same request comes again when its link was replaced: the first ask
-  // still stands, or was granted and the grant was lost with the link.
+  // An ingress daemon repeats a grant request when its link was replaced.
+  // Either the first one is still queued, or it was granted and the grant was
+  // lost with the link.
   if (Waiting_.contains(Request.Id_))
     return Out;
   if (auto Known = Running_.find(Request.Id_); Known != Running_.end())
     endRunning(Known);
-  TierQueue &Own = Tiers_[queueIndex(Request.Tier_)];
-  Standing Place = standingOf(Request, Now);
+  TierQueue &OwnTier = Tiers_[queueIndex(Request.Tier_)];
+  Standing Priority = standingOf(Request, Now);
   if (!Request.AskedBefore_) {
-    Own.Share_.decay(Now);
-    Own.Share_.Arrived_ += 1;
-    FadingShare &OfLength = Own.ShareByLength_[Place.Length_];
+    OwnTier.Share_.decay(Now);
+    OwnTier.Share_.Arrived_ += 1;
+    FadingShare &OfLength = OwnTier.ShareByLength_[Priority.Length_];
     OfLength.decay(Now);
     OfLength.Arrived_ += 1;
   }
-  Own.RecentArrivals_.add(Now);
+  OwnTier.RecentArrivals_.add(Now);
   if (!hasServerFor(Request)) {
     Out.push_back(refusal(Request, ResultCode::NoBackendServer));
     return Out;
@@ -146,11 +148,12 @@
   nanoseconds Service =
       Options_.RefuseInfeasible_ ? bestServiceTime(Request) : nanoseconds(0);
   if (Now + Service >= Request.Deadline_) {
-    // Even an idle engine could not do it: no sign of overload, no floor.
+    // Not even an idle engine could serve the request in time. This is no sign
+    // of overload, so the admission floor is not raised.
     Out.push_back(refusal(Request, ResultCode::CannotFinishInTime));
     return Out;
   }
-  if (wouldWaitTooLong(Request, Place, Now)) {
+  if (wouldWaitTooLong(Request, Priority, Now)) {
     RefuseDecision Refusal = refusal(Request, ResultCode::WaitTooLong);
     Refusal.RetryAfter_ = returnAfter(Request, Now);
     Out.push_back(Refusal);
@@ -169,9 +172,9 @@
   if (Request.MaxWait_.count() > 0)
     Waiting.LatestStart_ =
         std::min(Waiting.LatestStart_, Now + Request.MaxWait_);
-  Waiting.Standing_ = Place;
+  Waiting.Standing_ = Priority;
   Waiting.Asked_ = std::move(Request);
-  Own.RecentAdmitted_.add(Now);
+  OwnTier.RecentAdmitted_.add(Now);
   enqueue(std::move(Waiting));
   return Out;
 }
@@ -183,8 +186,8 @@
   });
 }
 
-/// With no server left, those that wait are told so now, not at their
-/// deadlines.
+/// Refuses all waiting requests if no server is usable, so that they do not
+/// wait until their deadlines.
 void Scheduler::refuseUnservable(std::vector<Decision> &Out) {
   bool AnyUsable = std::ranges::any_of(
       Servers_, [](const auto &Item) { return Item.second.usable(); });
@@ -199,8 +202,9 @@
   return {Request.Id_, Code, retryAfter(Request.Tier_), Request.Entry_};
 }
 
-/// The work that goes first divided by the rate at which work ends, with
-/// jitter: callers who are refused together must not come back together.
+/// Divides the number of requests that are served first by the rate at which
+/// requests end, and adds jitter so that callers that are refused together do
+/// not retry together.
 milliseconds Scheduler::retryAfter(TierIndex Tier) {
   std::size_t Before = 0;
   for (const TierQueue &Queue : std::span(Tiers_).first(queueIndex(Tier) + 1))
@@ -215,8 +219,9 @@
   return milliseconds(static_cast<std::int64_t>(Millis * (1.0 + Jitter)));
 }
 
-/// The waiting request to shed first for one of \p Above: of the lowest tier,
-/// of the customer that was served most, the latest deadline.
+/// \returns the waiting request to shed first for one of tier \p Above: the one
+/// with the latest deadline, of the customer that was served most, in the
+/// lowest tier.
 std::optional<RequestId> Scheduler::lowestWaiting(TierIndex Above) const {
   std::size_t First = queueIndex(Above) + 1;
   if (!Options_.StrictTiers_ || First >= Tiers_.size())
@@ -259,11 +264,12 @@
     Server->start(Request.Id_, Tokens(0), {});
 }
 
-/// The engine that the request runs on; null when that is gone, or has started
-/// again since: what the earlier process did says nothing of the present one.
+/// \returns the engine that the request runs on, or null if the engine is gone
+/// or has restarted since: the outcome of the earlier process says nothing
+/// about the current one.
 ServerModel *Scheduler::runningAt(const RunningRequest &Request) {
-  ServerModel *Present = server(Request.Server_);
-  return Present && Present->runs(Request.Id_) ? Present : nullptr;
+  ServerModel *Current = server(Request.Server_);
+  return Current && Current->runs(Request.Id_) ? Current : nullptr;
 }
 
 Scheduler::RunningMap::iterator
@@ -278,19 +284,19 @@
   return Running_.erase(Item);
 }
 
-void Scheduler::done(const RequestId &Id, const ServedSample &Seen,
+void Scheduler::done(const RequestId &Id, const ServedSample &Sample,
                      TimePoint Now) {
   auto Found = Running_.find(Id);
   if (Found == Running_.end())
     return;
   const RunningRequest &Ended = Found->second;
   if (ServerModel *Server = runningAt(Ended)) {
-    Server->learn(Seen, Typical_);
-    judge(*Server, Seen, Now);
+    Server->learn(Sample, Typical_);
+    judge(*Server, Sample, Now);
   }
   Ends_.add(Now);
-  if (Seen.Complete_ && Ended.Answer_.count() > 0) {
-    double Share = static_cast<double>(Seen.Generated_.count()) /
+  if (Sample.Complete_ && Ended.Answer_.count() > 0) {
+    double Share = static_cast<double>(Sample.Generated_.count()) /
                    static_cast<double>(Ended.Answer_.count());
     auto [Known, New] = AnswerShare_.try_emplace(Ended.Customer_, Share);
     constexpr double NewShareWeight = 0.1;
@@ -298,9 +304,9 @@
       Known->second += NewShareWeight * (Share - Known->second);
   }
   endRunning(Found);
-  if (!Seen.Complete_)
+  if (!Sample.Complete_)
     return;
-  noteHold(Seen);
+  noteHold(Sample);
   std::chrono::duration<double> Gap = Now - LastEnd_;
   LastEnd_ = Now;
   constexpr double Smoothing = 0.05;
@@ -308,35 +314,36 @@
   EndsPerSecond_ += Smoothing * (Rate - EndsPerSecond_);
 }
 
-void Scheduler::firstToken(const RequestId &Id, const FirstTokenSample &Seen) {
+void Scheduler::firstToken(const RequestId &Id,
+                           const FirstTokenSample &Sample) {
   auto Found = Running_.find(Id);
   if (Found == Running_.end())
     return;
   if (ServerModel *Server = runningAt(Found->second))
-    Server->firstToken(Id, Seen, Typical_);
+    Server->firstToken(Id, Sample, Typical_);
 }
 
-std::vector<RequestId> Scheduler::removeWaiting(const VmId &Entry) {
+std::vector<RequestId> Scheduler::removeWaiting(const VmId &Ingress) {
   std::vector<RequestId> Removed;
   for (const auto &[Id, Request] : Waiting_)
-    if (Request.Asked_.Entry_ == Entry)
+    if (Request.Asked_.Entry_ == Ingress)
       Removed.push_back(Id);
   std::ranges::for_each(Removed, [this](RequestId Id) { dequeue(Id); });
   return Removed;
 }
 
-EntryRemains Scheduler::removeEntry(const VmId &Entry) {
-  EntryRemains Left;
-  Left.Waiting_ = removeWaiting(Entry);
+EntryRemains Scheduler::removeEntry(const VmId &Ingress) {
+  EntryRemains Removed;
+  Removed.Waiting_ = removeWaiting(Ingress);
   for (auto Item = Running_.begin(); Item != Running_.end();) {
-    if (Item->second.Entry_ != Entry) {
+    if (Item->second.Entry_ != Ingress) {
       ++Item;
       continue;
     }
-    Left.Running_.push_back(Item->second);
+    Removed.Running_.push_back(Item->second);
     Item = endRunning(Item);
   }
-  return Left;
+  return Removed;
 }
 
 std::optional<TierIndex> Scheduler::floor(TimePoint Now) const {
@@ -346,8 +353,8 @@
 std::vector<Decision> Scheduler::raiseFloor(TierIndex Tier, TimePoint Until,
                                             TimePoint Now) {
   std::vector<Decision> Out;
-  auto Present = floor(Now);
-  if (!Present || Tier < *Present)
+  auto Current = floor(Now);
+  if (!Current || Tier < *Current)
     Floor_ = Tier;
   FloorUntil_ = std::max(FloorUntil_, Until);
   shedBelow(Tier, Out);
@@ -359,10 +366,10 @@
   }
 }
 
-/// A request of \p Tier is about to be shed for lack of capacity: from now on
-/// no lower one may be served, or a higher tier would be shed while a lower
-/// one still is. Those that wait are shed with it; those that run are
-/// cancelled, unless they must not run again.
+/// Raises the admission floor to \p Tier, of which a request is about to be
+/// shed for lack of capacity; otherwise a higher tier would be shed while a
+/// lower one is still served. Waiting requests of lower tiers are shed too;
+/// running ones are cancelled unless they must not run again.
 void Scheduler::noteShed(TierIndex Tier, TimePoint Now,
                          std::vector<Decision> &Out) {
   if (!Options_.StrictTiers_ || Options_.GuaranteedShare_ > 0)
@@ -373,8 +380,8 @@
   }
 }
 
-/// Cancels one running request of the lowest tier below \p Tier: the one
-/// whose prompt is the shortest, since its prefill is what is lost.
+/// Cancels one running request of the lowest tier below \p Tier. The request
+/// with the shortest prompt is chosen, because its prefill is lost.
 bool Scheduler::preemptFor(TierIndex Tier, std::vector<Decision> &Out) {
   const RunningRequest *Victim = nullptr;
   auto Order = [](const RunningRequest &Request) {
@@ -434,16 +441,17 @@
 }
 
 void Scheduler::report(const ServerName &Name, bool Healthy,
-                       const LoadReport &Seen) {
+                       const LoadReport &Report) {
   ServerModel *Model = server(Name);
   if (!Model)
     return;
   Model->setReachable(Healthy);
-  Model->report(Seen);
+  Model->report(Report);
   if (Options_.AdaptLimits_)
-    Model->adaptLimit(Seen);
-  // When no engine answers, it is more likely this daemon that is cut off than
-  // all engines that died: entries may still reach them, and are let try.
+    Model->adaptLimit(Report);
+  // If no engine answers, it is more likely that this daemon is cut off than
+  // that all engines failed. Ingress daemons may still reach the engines and
+  // are allowed to try.
   bool AnyReachable = std::ranges::any_of(
       Servers_, [](const auto &Item) { return Item.second.reachable(); });
   for (auto &[Other, Server] : Servers_)
@@ -452,19 +460,19 @@
 
 void Scheduler::serve(const WaitingRequest &Request, ServerModel &Server,
                       std::vector<Decision> &Out) {
-  const AskedRequest &Asked = Request.Asked_;
+  const AskedRequest &Details = Request.Asked_;
   const ServerName &Name = Server.capacity().Name_;
-  Server.start(Asked.Id_, Asked.Prompt_, prefixOf(Asked));
-  ++RunningByCustomer_[Asked.Customer_];
-  Running_[Asked.Id_] = {
-      Asked.Id_,     Asked.Tier_,   Asked.Customer_,      Name,
-      Asked.Prompt_, Asked.Answer_, Asked.NonIdempotent_, Asked.Entry_};
-  Out.push_back(GrantDecision{Asked.Id_, Name, Asked.Entry_});
+  Server.start(Details.Id_, Details.Prompt_, prefixOf(Details));
+  ++RunningByCustomer_[Details.Customer_];
+  Running_[Details.Id_] = {
+      Details.Id_,     Details.Tier_,   Details.Customer_,      Name,
+      Details.Prompt_, Details.Answer_, Details.NonIdempotent_, Details.Entry_};
+  Out.push_back(GrantDecision{Details.Id_, Name, Details.Entry_});
 }
 
-/// Grants one request of the tier. Those that are late already wait for a
-/// calmer moment: served first, they would make all that come after them late
-/// as well, those of other customers too.
+/// Grants one request of the tier. Requests that have already missed their
+/// objective wait for lower load. If they were served first, all requests after
+/// them would miss theirs too, including those of other customers.
 bool Scheduler::grantFromTier(TierQueue &Tier, TimePoint Now,
                               std::vector<Decision> &Out) {
   if (Options_.RefuseLongWaits_ && grantInOrder(Tier, true, Now, Out))
@@ -530,7 +538,8 @@
   }
 }
 
-/// The lowest tiers first: they are the ones that others starve.
+/// Serves starving tiers, lowest first, because the lowest are the ones that
+/// others starve.
 void Scheduler::grantStarving(TimePoint Now, std::vector<Decision> &Out) {
   std::for_each(Tiers_.rbegin(), Tiers_.rend(), [&](TierQueue &Tier) {
     while (isStarving(Tier, Now) && anySpare() &&
--- a/Source/Process/Scheduling/Scheduler.h
+++ b/Source/Process/Scheduling/Scheduler.h
@@ -1,10 +1,12 @@
 #pragma once
 /// \file
-/// The decisions of a cell's keeper: which waiting request gets which engine,
-/// and which is given up. Pure: no sockets, and the time is an argument.
+/// Scheduling decisions of a cell's keeper: which waiting request is granted
+/// which engine, and which request is refused or cancelled. The code is free of
+/// I/O; the current time is passed in.
 ///
-/// Order: strictly by tier; within a tier the customer with the least served
-/// tokens for its weight; within a customer the earliest deadline.
+/// Requests are served strictly by tier. Within a tier, the customer with the
+/// fewest served tokens relative to its weight goes first; within a customer,
+/// the request with the earliest deadline.
 
 #include "Common/Ids.h"
 #include "Common/ResultCode.h"
@@ -33,22 +35,25 @@
   TierIndex Tier_;
   CustomerName Customer_;
   TimePoint Deadline_;
-  /// Within this the answer is worth most; unset: up to the deadline.
+  /// The answer is worth most before this time. Unset means the deadline.
   TimePoint Objective_{};
-  /// The longest pause between events of an answer in time; 0 is any.
+  /// The longest pause between two events with which the answer still meets its
+  /// objective; 0 means any pause.
   std::chrono::milliseconds MaxPause_{0};
-  /// The longest that it may wait; 0: until its latest start.
+  /// The longest time that the request may wait; 0 means until its latest
+  /// start.
   std::chrono::milliseconds MaxWait_{0};
   Tokens Prompt_;
-  Tokens Answer_; ///< The most that may be generated.
-  /// The caller's guess of the answer's length; 0 is none. Right in the
-  /// middle, and off by a half more often than not.
+  Tokens Answer_; ///< Maximum number of generated tokens.
+  /// The caller's estimate of the answer's length; 0 means none. The estimate
+  /// is right on average, but more often than not it is off by half.
   Tokens Guessed_;
-  /// Its caller came back, or another cell refused it: one who asks often is
-  /// not several who are turned away.
+  /// The caller retries, or another cell refused the request. A caller that
+  /// retries often must not be counted as several refused callers.
   bool AskedBefore_ = false;
   std::vector<std::uint64_t> Prefix_; ///< Hashes of the prompt's blocks.
-  /// What Prefix_ was made of, where only that is known of the prompt.
+  /// The parts from which Prefix_ was computed, where only the parts of the
+  /// prompt are known.
   std::vector<PromptPart> Parts_;
   bool NonIdempotent_ = false;
   std::vector<ServerName> Excluded_;
@@ -67,7 +72,7 @@
   VmId Entry_;
 };
 
-/// What an entry that is gone had at a keeper.
+/// The requests that an ingress daemon had at a keeper when it was removed.
 struct EntryRemains {
   std::vector<RequestId> Waiting_;
   std::vector<RunningRequest> Running_;
@@ -93,10 +98,10 @@
 };
 using Decision = std::variant<GrantDecision, RefuseDecision, CancelDecision>;
 
-/// What the scheduler needs to know of a customer.
+/// A customer's weight and limit.
 struct CustomerShare {
   std::uint32_t Weight_ = 1;
-  std::uint32_t MaxInFlight_ = 0; ///< 0 is no ceiling.
+  std::uint32_t MaxInFlight_ = 0; ///< 0 means no limit.
 };
 
 class Scheduler {
@@ -104,32 +109,37 @@
   struct Options {
     std::uint32_t TierCount_ = 1;
     std::size_t MaxWaiting_ = 1000;
-    /// How long lower tiers stay shut out after a higher one was shed.
+    /// How long lower tiers are refused after a request of a higher one was
+    /// shed.
     std::chrono::milliseconds FloorHold_{400};
-    /// How long before its latest start a request may take the engine of a
-    /// lower tier's running one.
+    /// How long before its latest start a request may preempt a running request
+    /// of a lower tier.
     std::chrono::milliseconds PreemptMargin_{250};
     std::uint64_t Seed_ = 1;
-    /// How often each tier is served whatever higher tiers ask for, as a part
-    /// of how often all are; 0 is strict order, with lower tiers shut out while
-    /// a higher one is shed.
+    /// The rate of grants per arrival that each tier is guaranteed regardless
+    /// of higher tiers, as a fraction of the same rate over all tiers. 0 means
+    /// strict order, in which lower tiers are refused while a higher one is
+    /// shed.
     double GuaranteedShare_ = 0;
-    /// Refuse at once what would wait longer than it may.
+    /// Refuse requests immediately when their predicted wait exceeds their
+    /// maximum wait.
     bool RefuseLongWaits_ = false;
-    /// The part of the time left to its objective within which the first event
-    /// is expected, where an engine that is not among the quick ones is taken.
+    /// The first event is expected within this fraction of the time left to the
+    /// objective, where an engine that is not among the fastest is chosen.
     double ObjectivePart_ = 0.5;
-    /// Prompts go where the pauses of all that stream there stay allowed.
+    /// Send prompts only to engines where the pauses of all streams stay within
+    /// what is allowed.
     bool KeepPauses_ = true;
-    /// What is late turns nothing away that is not.
+    /// Requests that missed their objective do not count in the predicted wait
+    /// of those that can still meet theirs.
     bool CountLateApart_ = true;
-    /// Long answers go behind others.
+    /// Schedule long answers after shorter ones.
     bool PutLongBack_ = true;
-    /// Refused callers get moments of their own to come back.
+    /// Assign each refused caller a retry time of its own.
     bool ScheduleReturns_ = true;
-    /// Quick engines are kept for what only they read in time.
+    /// Reserve fast engines for prompts that only they read in time.
     bool KeepQuick_ = true;
-    // Decisions that a measurement may leave out.
+    // Parts of the algorithm that a benchmark can disable.
     bool StrictTiers_ = true;
     bool FairCustomers_ = true;
     bool RefuseInfeasible_ = true;
@@ -137,93 +147,98 @@
     bool UsePrefixes_ = true;
     bool UseSpeeds_ = true;
     bool AdaptLimits_ = true;
-    /// The baseline of measurements: every daemon by itself, each request at
-    /// once to the less loaded of two random engines, by their own reports.
+    /// The baseline for benchmarks: every daemon decides alone and sends each
+    /// request immediately to the less loaded of two random engines, by the
+    /// load that the engines report.
     bool TwoChoices_ = false;
   };
 
   explicit Scheduler(Options Settings);
 
-  /// Replaces servers and customers. Running requests of a server that is
-  /// gone stay known until they end.
+  /// Replaces servers and customers. Running requests of a removed server stay
+  /// known until they end.
   void configure(std::vector<ServerCapacity> Servers,
                  std::map<CustomerName, CustomerShare> Customers,
                  std::uint32_t TierCount, std::size_t MaxWaiting);
-  /// The part of each server's limit that this keeper may use, from 0 to 1.
+  /// Sets the fraction of each server's limit that this keeper may use, from 0
+  /// to 1.
   void setShare(double Share) { Share_ = Share; }
-  /// How many tokens one event of an answer holds.
+  /// Sets the number of tokens in one event of an answer.
   void setTokensPerEvent(std::int64_t Count) { TokensPerEvent_ = Count; }
-  /// Before this no grant is given: a new keeper first hears what runs.
+  /// Sets the end of the warm-up, during which nothing is granted: a new keeper
+  /// must first learn which requests are running.
   void setWarmUntil(TimePoint Until) { WarmUntil_ = Until; }
   bool warming(TimePoint Now) const { return Now < WarmUntil_; }
 
-  /// Takes a request in, or refuses it at once.
+  /// Queues a request, or refuses it at once.
   std::vector<Decision> ask(AskedRequest Request, TimePoint Now);
-  /// The request waits no more, or runs under another keeper.
+  /// Removes a request that no longer waits, or that runs under another keeper.
   void withdraw(const RequestId &Id);
-  /// A request of an earlier keeper runs on this server.
+  /// Adds a request that an earlier keeper granted and that still runs.
   void addRunning(const RunningRequest &Request);
-  /// A granted request ended; the model learns from \p Seen.
-  void done(const RequestId &Id, const ServedSample &Seen, TimePoint Now);
-  /// A granted request gave its first token.
-  void firstToken(const RequestId &Id, const FirstTokenSample &Seen);
-  /// Forgets the requests of a daemon that wait. \returns them.
-  std::vector<RequestId> removeWaiting(const VmId &Entry);
-  /// Forgets all requests of a daemon. \returns them.
-  EntryRemains removeEntry(const VmId &Entry);
-  /// Another keeper of the pool shed a request of \p Tier.
+  /// Ends a granted request; the server model learns from \p Sample.
+  void done(const RequestId &Id, const ServedSample &Sample, TimePoint Now);
+  /// Records the first token of a granted request.
+  void firstToken(const RequestId &Id, const FirstTokenSample &Sample);
+  /// Removes the waiting requests of an ingress daemon. \returns their ids.
+  std::vector<RequestId> removeWaiting(const VmId &Ingress);
+  /// Removes all requests of an ingress daemon. \returns them.
+  EntryRemains removeEntry(const VmId &Ingress);
+  /// Raises the admission floor after another keeper of the pool shed a request
+  /// of \p Tier.
   std::vector<Decision> raiseFloor(TierIndex Tier, TimePoint Until,
                                    TimePoint Now);
-  /// What can be decided now: grants, refusals of what can no longer finish,
-  /// cancellations for higher tiers.
+  /// Makes all decisions that are possible now: grants, refusals of requests
+  /// that can no longer finish, and cancellations in favor of higher tiers.
   std::vector<Decision> decide(TimePoint Now);
 
-  /// An engine's own report came.
-  void report(const ServerName &Server, bool Healthy, const LoadReport &Seen);
+  /// Applies a report of an engine about itself.
+  void report(const ServerName &Server, bool Healthy, const LoadReport &Report);
 
-  /// The lowest tier that is admitted, while a floor holds.
+  /// \returns the admission floor, the lowest tier still admitted, while one is
+  /// set.
   std::optional<TierIndex> floor(TimePoint Now) const;
   TimePoint floorUntil() const { return FloorUntil_; }
   std::size_t waiting() const { return Waiting_.size(); }
   std::size_t running() const { return Running_.size(); }
-  /// How many engines were looked at for requests' sake, since the start.
+  /// \returns how often an engine was examined for a request since the start.
   std::uint64_t engineLooks() const { return EngineLooks_; }
   std::optional<RunningRequest> findRunning(const RequestId &Id) const;
   ServerModel *server(const ServerName &Name);
   const std::map<ServerName, ServerModel> &servers() const { return Servers_; }
 
 private:
-  /// No first event comes sooner than this after a grant.
+  /// The earliest time after a grant at which a first event can arrive.
   static constexpr std::chrono::milliseconds LeastFirstEvent{60};
   static constexpr std::size_t RateSlots = 5;
   static constexpr std::chrono::milliseconds RateWindow{1000};
   using DeadlineKey = std::tuple<TimePoint, std::uint64_t, RequestId>;
-  /// How long an answer holds its place: 0 is up to the mean, each further one
-  /// up to twice as long as the one before, the last one any longer. Of answers
-  /// whose lengths differ a thousandfold one in ten is beyond eight times the
-  /// mean of all tiers.
+  /// Class of how long an answer occupies its slot. Class 0 is up to the mean,
+  /// each further class up to twice the one before, and the last one is
+  /// unbounded. When answer lengths differ a thousandfold, one answer in ten
+  /// takes more than eight times the mean of all tiers.
   using AnswerLength = std::size_t;
   static constexpr AnswerLength UsualLength = 0;
   static constexpr std::size_t AnswerLengths = 7;
-  /// How long a tier's arrivals and grants are remembered for its share.
+  /// Decay time of a tier's arrivals and grants when computing its share.
   static constexpr std::chrono::duration<double> TierMemory{30.0};
-  /// The same for each length of its answers. In a calm time all lengths are
-  /// served: remembered for long, the long ones have to go without for as long
-  /// in the next burst. Remembered for less, few answers of a length are left
-  /// to count at a keeper, and long ones get more than their part by chance.
+  /// Decay time of the arrivals and grants of each answer length. All lengths
+  /// are served while load is low: with a longer decay time, long answers would
+  /// be starved for that long in the next burst. With a shorter one, a keeper
+  /// has too few answers of a length to count, and long answers get more than
+  /// their share by chance.
   static constexpr std::chrono::duration<double> LengthMemory{20.0};
-  /// Where a request stands among those of its tier.
+  /// A request's position in the order of its tier.
   struct Standing {
-    /// How long it would hold a place of an engine of middling speed; 0 while
-    /// nothing is known.
+    /// Expected time in a slot of an average engine; 0 while unknown.
     std::chrono::nanoseconds Service_{0};
-    /// How much longer than others its answer is.
+    /// Length class of the answer.
     AnswerLength Length_ = UsualLength;
-    /// It may be put behind others for that.
+    /// The request may be scheduled after others because of its length.
     bool PutBack_ = false;
-    /// No answer would be within its objective any more.
+    /// No answer can meet the objective any more.
     bool Late_ = false;
-    /// Requests are served in the order of these moments.
+    /// Requests are served in ascending order of this time.
     TimePoint Urgency_;
   };
   struct WaitingRequest {
@@ -233,7 +248,7 @@
     TimePoint LatestStart_;
     bool Preempting_ = false;
   };
-  /// Arrivals and grants, fading with time.
+  /// Arrivals and grants, decaying over time.
   struct FadingShare {
     std::chrono::duration<double> Memory_ = TierMemory;
     double Arrived_ = 0;
@@ -241,7 +256,8 @@
     TimePoint Decayed_;
 
     void decay(TimePoint Now);
-    /// The part of the arrivals that was granted; 1 while there were few.
+    /// \returns the fraction of arrivals that were granted, or 1 if there were
+    /// too few arrivals.
     double part() const;
   };
   struct CustomerQueue {
@@ -253,13 +269,14 @@
     Shares.fill(FadingShare{.Memory_ = LengthMemory});
     return Shares;
   }
-  /// When callers of a tier that were refused may come back.
+  /// Assigns retry times to refused callers of a tier.
   class ReturnSchedule {
   public:
-    /// The next free moment, at \p PerSecond of them; nothing, and none is
-    /// taken, when that is later than \p Longest from now.
+    /// Reserves the next free retry time, at \p PerSecond of them. \returns the
+    /// delay from \p Now, or nothing, without reserving a time, if it exceeds
+    /// \p MaxDelay.
     std::optional<std::chrono::milliseconds>
-    next(TimePoint Now, double PerSecond, std::chrono::milliseconds Longest);
+    next(TimePoint Now, double PerSecond, std::chrono::milliseconds MaxDelay);
 
   private:
     TimePoint Next_;
@@ -268,12 +285,13 @@
     std::map<CustomerName, CustomerQueue> Customers_;
     std::set<std::pair<double, CustomerName>> Active_;
     std::size_t Count_ = 0;
-    /// Of those the ones that were late when they asked: they go last.
+    /// The number of queued requests that had missed their objective when they
+    /// arrived: they go last.
     std::size_t LateCount_ = 0;
     FadingShare Share_;
-    /// The same by the lengths of answers.
+    /// Shares by answer length.
     std::array<FadingShare, AnswerLengths> ShareByLength_ = sharesByLength();
-    /// What came, and what of it was let wait for a place.
+    /// Requests that arrived, and those of them that were queued.
     SlidingCount<RateSlots> RecentArrivals_{RateWindow};
     SlidingCount<RateSlots> RecentAdmitted_{RateWindow};
     ReturnSchedule Returns_;
@@ -282,15 +300,16 @@
     RequestId Id_;
     ServerModel *Server_ = nullptr;
   };
-  /// What holds for one round of decisions, in which room only shrinks.
+  /// Cached results of one round of decisions, during which free capacity only
+  /// shrinks.
   struct Round {
     static constexpr Tokens Any{std::numeric_limits<std::int64_t>::max()};
-    /// Of prompts that no engine had room for, the shortest: a longer one finds
+    /// The shortest prompt for which no engine had room: a longer one finds
     /// none either.
     Tokens Unplaceable_ = Any;
-    /// The pause that the two refer to.
+    /// The allowed pause for which the other two members were computed.
     std::chrono::milliseconds Pause_{-1};
-    /// The longest prompt that keeps the pause on an idle engine.
+    /// The longest prompt that stays within the pause on an idle engine.
     Tokens LongestKeeping_{0};
   };
   using RunningMap = std::unordered_map<RequestId, RunningRequest>;
@@ -343,10 +362,11 @@
                       TimePoint Now) const;
   bool isDoomed(const AskedRequest &Request, TimePoint Now) const;
   std::span<const std::uint64_t> prefixOf(const AskedRequest &Request) const;
-  /// How many tokens the answer will likely have; 0 while nothing is known.
+  /// \returns the expected number of generated tokens; 0 while unknown.
   Tokens expectedAnswer(const AskedRequest &Request) const;
   bool anySpare() const;
-  /// Time on the quickest idle engine, with a margin; 0 while none is known.
+  /// \returns the expected time on the fastest idle engine, with a margin; 0
+  /// while unknown.
   std::chrono::nanoseconds bestServiceTime(const AskedRequest &Request) const;
   std::chrono::milliseconds retryAfter(TierIndex Tier);
   std::chrono::milliseconds returnAfter(const AskedRequest &Request,
@@ -356,7 +376,7 @@
   double servedPart(TimePoint Now);
   std::chrono::milliseconds predictedWait(TierIndex Tier, bool Late,
                                           TimePoint Now);
-  bool wouldWaitTooLong(const AskedRequest &Request, const Standing &Place,
+  bool wouldWaitTooLong(const AskedRequest &Request, const Standing &Priority,
                         TimePoint Now);
   std::chrono::nanoseconds typicalService(const AskedRequest &Request) const;
   Standing standingOf(const AskedRequest &Request, TimePoint Now);
@@ -364,9 +384,9 @@
   AnswerLength lengthOf(std::chrono::nanoseconds Service) const;
   static double leastPart(AnswerLength Length);
   static FadingShare shareOfAll(TierQueue &Tier, TimePoint Now);
-  void noteHold(const ServedSample &Seen);
+  void noteHold(const ServedSample &Sample);
   void judgeServers(TimePoint Now);
-  void judge(ServerModel &Server, const ServedSample &Seen, TimePoint Now);
+  void judge(ServerModel &Server, const ServedSample &Sample, TimePoint Now);
   double poolFailureRate() const;
   void grantStarving(TimePoint Now, std::vector<Decision> &Out);
   void serve(const WaitingRequest &Request, ServerModel &Server,
@@ -377,7 +397,7 @@
 
   Options Options_;
   std::map<ServerName, ServerModel> Servers_;
-  /// What all engines of the pool are like, taken together.
+  /// The speed of the pool's engines, learned from all of them together.
   EngineSpeed Typical_;
   std::map<CustomerName, CustomerShare> Shares_;
   std::vector<TierQueue> Tiers_;
@@ -385,7 +405,7 @@
   std::set<std::pair<TimePoint, RequestId>> ByLatestStart_;
   RunningMap Running_;
   std::unordered_map<CustomerName, std::uint32_t> RunningByCustomer_;
-  /// The part of their allowed answers that a customer's answers have.
+  /// Mean ratio of generated to allowed tokens of each customer's answers.
   std::unordered_map<CustomerName, double> AnswerShare_;
   std::set<RequestId> Cancelled_;
   double Share_ = 1.0;
@@ -398,7 +418,7 @@
   std::uint64_t NextArrival_ = 0;
   double EndsPerSecond_ = 0;
   SlidingCount<RateSlots> Ends_{RateWindow};
-  /// How long a granted request holds its place, on average.
+  /// The mean time for which a granted request occupies its slot.
   std::chrono::nanoseconds MeanHold_{0};
   TimePoint LastEnd_;
   pcg32 Random_;
--- a/Source/Process/Scheduling/SchedulerAdmission.cpp
+++ b/Source/Process/Scheduling/SchedulerAdmission.cpp
@@ -1,11 +1,11 @@
 /// \file
-/// How long a request would wait, and which tier is served below its
-/// guaranteed share.
+/// Predicts how long a request would wait, and which tiers are served below
+/// their guaranteed share.
 ///
-/// Load pattern: a burst of the lowest tier, whose long streams hold most
-/// slots. It must not keep higher tiers waiting, its requests are answered
-/// while they are worth most rather than all of them late, and it is never
-/// shut out altogether.
+/// Load pattern: a burst of the lowest tier, whose long streams occupy most
+/// slots. The burst must not delay higher tiers. Its requests should be
+/// answered while the answers are worth most, instead of all of them missing
+/// their objectives, and the tier must never be starved completely.
 
 #include "Process/Scheduling/Scheduler.h"
 
@@ -20,29 +20,31 @@
 
 namespace {
 
-/// Fewer arrivals than this say nothing of a share.
-constexpr double LeastArrivals = 8;
-/// A tier may count on at least this part of the rate, whatever goes first.
-constexpr double LeastPartOfRate = 0.2;
-/// Of the places for a tier, what is promised to callers that come back.
-constexpr double PartForReturns = 0.5;
-/// Callers wait for a third of the time that they have left, at the most.
-constexpr int ReturnPart = 3;
-/// A rate taken from fewer ends than this within the window is a guess.
-constexpr double LeastEnds = 5;
+/// With fewer arrivals than this, no share is computed.
+constexpr double MinArrivals = 8;
+/// A tier is assumed to get at least this fraction of the rate, whatever is
+/// served first.
+constexpr double MinRateFraction = 0.2;
+/// The fraction of a tier's slots that is assigned to callers that retry.
+constexpr double RetryFraction = 0.5;
+/// Callers wait before a retry for at most one third of the time that they have
+/// left.
+constexpr int RetryTimeDivisor = 3;
+/// With fewer ends than this within the window, the rate is unknown.
+constexpr double MinEnds = 5;
 
 } // namespace
 
 void Scheduler::FadingShare::decay(TimePoint Now) {
-  std::chrono::duration<double> Since = Now - Decayed_;
-  double Kept = std::max(0.0, 1.0 - Since.count() / Memory_.count());
+  std::chrono::duration<double> Elapsed = Now - Decayed_;
+  double DecayFactor = std::max(0.0, 1.0 - Elapsed.count() / Memory_.count());
   Decayed_ = Now;
-  Arrived_ *= Kept;
-  Granted_ *= Kept;
+  Arrived_ *= DecayFactor;
+  Granted_ *= DecayFactor;
 }
 
 double Scheduler::FadingShare::part() const {
-  return Arrived_ < LeastArrivals ? 1.0 : Granted_ / Arrived_;
+  return Arrived_ < MinArrivals ? 1.0 : Granted_ / Arrived_;
 }
 
 bool Scheduler::isStarving(TierQueue &Tier, TimePoint Now) {
@@ -52,7 +54,7 @@
   return Tier.Share_.part() < Options_.GuaranteedShare_ * servedPart(Now);
 }
 
-/// The part of all tiers' arrivals that was granted.
+/// \returns the fraction of all tiers' arrivals that was granted.
 double Scheduler::servedPart(TimePoint Now) {
   FadingShare All;
   for (TierQueue &Tier : Tiers_) {
@@ -63,86 +65,97 @@
   return std::min(1.0, All.part());
 }
 
-/// Places that get free each second and that higher tiers will not take up
-/// again; 0 while too little is known.
+/// \returns the number of slots that become free each second and that higher
+/// tiers will not use again; 0 while too little is known.
 double Scheduler::freeRate(TierIndex Tier, TimePoint Now) {
   double Ends = Ends_.sum(Now);
-  if (Ends < LeastEnds)
+  if (Ends < MinEnds)
     return 0;
-  // What is refused takes no place; in a burst it is most of what comes.
+  // Refused requests take no slot; in a burst they are most of what arrives.
   double HigherAdmitted = 0;
   for (TierQueue &Higher : std::span(Tiers_).first(queueIndex(Tier)))
     HigherAdmitted += Higher.RecentAdmitted_.sum(Now);
-  return std::max(Ends - HigherAdmitted, LeastPartOfRate * Ends);
+  return std::max(Ends - HigherAdmitted, MinRateFraction * Ends);
 }
 
-/// What waits before a request of \p Tier, by the rate of places for it; or, if
-/// that is sooner, what waits in its own tier by the rate that the tier is
-/// guaranteed. What is late already goes after what is not: counted with the
-/// others, callers that came back too late would turn away those that could
-/// still be served in time, who then come back too late in their turn.
+/// Divides the number of requests ahead of one of \p Tier by the rate of slots
+/// for the tier. If it is shorter, returns the wait in the tier's own queue at
+/// the tier's guaranteed rate instead.
+///
+/// Requests that have missed their objective are served after the others and
+/// are not counted for them. Otherwise callers that retry too late would cause
+/// the refusal of callers that could still be served in time, who would then
+/// retry too late themselves.
 milliseconds Scheduler::predictedWait(TierIndex Tier, bool Late,
                                       TimePoint Now) {
   std::size_t Own = queueIndex(Tier);
-  std::size_t OwnBefore = Tiers_[Own].Count_;
+  std::size_t OwnAhead = Tiers_[Own].Count_;
   if (!Late && Options_.CountLateApart_)
-    OwnBefore -= Tiers_[Own].LateCount_;
-  auto Before = static_cast<double>(OwnBefore);
+    OwnAhead -= Tiers_[Own].LateCount_;
+  auto Ahead = static_cast<double>(OwnAhead);
   for (const TierQueue &Queue : std::span(Tiers_).first(Own))
-    Before += static_cast<double>(Queue.Count_);
-  double Free = freeRate(Tier, Now);
-  if (Before == 0 || Free == 0)
+    Ahead += static_cast<double>(Queue.Count_);
+  double SlotRate = freeRate(Tier, Now);
+  if (Ahead == 0 || SlotRate == 0)
     return milliseconds(0);
-  double Seconds = Before / Free;
+  double Seconds = Ahead / SlotRate;
   double Guaranteed = Options_.GuaranteedShare_ * servedPart(Now) *
                       Tiers_[Own].RecentArrivals_.sum(Now);
   if (Guaranteed > 0)
-    Seconds = std::min(Seconds, static_cast<double>(OwnBefore) / Guaranteed);
+    Seconds = std::min(Seconds, static_cast<double>(OwnAhead) / Guaranteed);
   std::chrono::duration<double> Wait(Seconds);
   return std::chrono::duration_cast<milliseconds>(Wait);
 }
 
 std::optional<milliseconds>
 Scheduler::ReturnSchedule::next(TimePoint Now, double PerSecond,
-                                milliseconds Longest) {
-  std::chrono::duration<double> Each(1.0 / PerSecond);
-  TimePoint Free = std::max(Next_, Now) +
-                   std::chrono::duration_cast<TimePoint::duration>(Each);
-  if (Free > Now + Longest)
+                                milliseconds MaxDelay) {
+  std::chrono::duration<double> Interval(1.0 / PerSecond);
+  TimePoint NextFree =
+      std::max(Next_, Now) +
+      std::chrono::duration_cast<TimePoint::duration>(Interval);
+  if (NextFree > Now + MaxDelay)
     return std::nullopt;
-  Next_ = Free;
+  Next_ = NextFree;
   return std::chrono::duration_cast<milliseconds>(Next_ - Now);
 }
 
-/// Callers that are refused in a burst are told moments one after the other,
-/// at the rate of places for them, and after what waits already. Told the same
-/// moment, they would come back together and be refused again. Nobody is told a
-/// moment that he has no time for: in a long burst the moments would run away,
-/// to minutes, and stay there when it is over. For whom no moment is left, the
-/// time that he has is as good at one moment as at another.
+/// \returns the retry delay of a refused request. Callers that are refused in a
+/// burst get consecutive retry times, at the rate of slots for them and after
+/// what already waits. With the same time for all, they would retry together
+/// and be refused again.
+///
+/// No caller gets a time beyond what it can wait for: in a long burst the times
+/// would otherwise grow to minutes and stay there after its end. When no such
+/// time is left, the delay is chosen at random within the time that the caller
+/// has.
 milliseconds Scheduler::returnAfter(const AskedRequest &Request,
                                     TimePoint Now) {
   TierIndex Tier = Request.Tier_;
-  double Free = freeRate(Tier, Now);
-  if (Free == 0 || !Options_.ScheduleReturns_)
+  double SlotRate = freeRate(Tier, Now);
+  if (SlotRate == 0 || !Options_.ScheduleReturns_)
     return retryAfter(Tier);
-  auto Left = std::chrono::duration_cast<milliseconds>(Request.Deadline_ - Now);
-  milliseconds Longest = std::max(milliseconds(1), Left / ReturnPart);
-  auto Returns = Tiers_[queueIndex(Tier)].Returns_.next(
-      Now, PartForReturns * Free, Longest);
-  if (!Returns)
-    return milliseconds(Random_(static_cast<std::uint32_t>(Longest.count())));
-  return std::clamp(predictedWait(Tier, true, Now), *Returns, Longest);
+  auto TimeLeft =
+      std::chrono::duration_cast<milliseconds>(Request.Deadline_ - Now);
+  milliseconds MaxDelay =
+      std::max(milliseconds(1), TimeLeft / RetryTimeDivisor);
+  auto RetryDelay = Tiers_[queueIndex(Tier)].Returns_.next(
+      Now, RetryFraction * SlotRate, MaxDelay);
+  if (!RetryDelay)
+    return milliseconds(Random_(static_cast<std::uint32_t>(MaxDelay.count())));
+  return std::clamp(predictedWait(Tier, true, Now), *RetryDelay, MaxDelay);
 }
 
-void Scheduler::noteHold(const ServedSample &Seen) {
-  constexpr std::int64_t NewestPart = 50;
-  nanoseconds Held = Seen.Duration_;
-  MeanHold_ += MeanHold_.count() == 0 ? Held : (Held - MeanHold_) / NewestPart;
+void Scheduler::noteHold(const ServedSample &Sample) {
+  constexpr std::int64_t SmoothingDivisor = 50;
+  nanoseconds SlotTime = Sample.Duration_;
+  MeanHold_ += MeanHold_.count() == 0
+                   ? SlotTime
+                   : (SlotTime - MeanHold_) / SmoothingDivisor;
 }
 
-/// How long the request would hold a place of an engine of middling speed; 0
-/// while nothing is known.
+/// \returns how long the request would occupy a slot of an average engine; 0
+/// while unknown.
 nanoseconds Scheduler::typicalService(const AskedRequest &Request) const {
   nanoseconds Sum{0};
   std::int64_t Known = 0;
@@ -154,26 +167,26 @@
   return Known == 0 ? nanoseconds(0) : Sum / Known;
 }
 
-/// Requests of a customer are served by the moment at which an answer is
-/// wanted. Of answers whose lengths differ a hundredfold, the longest fifth
-/// takes most of the places, for a fifth of the callers: under load they go
-/// behind.
+/// Computes the request's position in the queue. Requests of a customer are
+/// ordered by the time at which their answers are wanted. When answer lengths
+/// differ a hundredfold, the longest fifth occupies most of the slots for a
+/// fifth of the callers, so under load long answers are deferred.
 Scheduler::Standing Scheduler::standingOf(const AskedRequest &Request,
                                           TimePoint Now) {
-  Standing Place;
+  Standing Priority;
   if (Request.Objective_ == TimePoint()) {
-    Place.Urgency_ = Request.Deadline_;
-    return Place;
+    Priority.Urgency_ = Request.Deadline_;
+    return Priority;
   }
-  Place.Late_ = Request.Objective_ < Now + LeastFirstEvent;
-  Place.Service_ = typicalService(Request);
-  Place.Length_ = lengthOf(Place.Service_);
-  Place.PutBack_ = mayPutBack(Request.Tier_, Place.Length_, Now);
-  Place.Urgency_ = Request.Objective_;
-  if (Place.PutBack_)
-    Place.Urgency_ +=
-        std::chrono::duration_cast<TimePoint::duration>(Place.Service_);
-  return Place;
+  Priority.Late_ = Request.Objective_ < Now + LeastFirstEvent;
+  Priority.Service_ = typicalService(Request);
+  Priority.Length_ = lengthOf(Priority.Service_);
+  Priority.PutBack_ = mayPutBack(Request.Tier_, Priority.Length_, Now);
+  Priority.Urgency_ = Request.Objective_;
+  if (Priority.PutBack_)
+    Priority.Urgency_ +=
+        std::chrono::duration_cast<TimePoint::duration>(Priority.Service_);
+  return Priority;
 }
 
 Scheduler::AnswerLength Scheduler::lengthOf(nanoseconds Service) const {
@@ -183,66 +196,71 @@
   return std::min<AnswerLength>(std::bit_width(Means), AnswerLengths - 1);
 }
 
-/// All lengths of a tier's answers together, as long remembered as each.
+/// \returns the share of all answer lengths of a tier together, with the same
+/// decay time as the share of each length.
 Scheduler::FadingShare Scheduler::shareOfAll(TierQueue &Tier, TimePoint Now) {
   FadingShare All{.Memory_ = LengthMemory};
-  for (FadingShare &Each : Tier.ShareByLength_) {
-    Each.decay(Now);
-    All.Arrived_ += Each.Arrived_;
-    All.Granted_ += Each.Granted_;
+  for (FadingShare &OfLength : Tier.ShareByLength_) {
+    OfLength.decay(Now);
+    All.Arrived_ += OfLength.Arrived_;
+    All.Granted_ += OfLength.Granted_;
   }
   return All;
 }
 
-/// How often answers of a length are served at least, as a part of how often
-/// all of their tier are. A little more with each length: guesses are off by a
-/// half, so those that truly are the longest are spread over two lengths and
-/// served less often than either. Much more for them would cost too many of the
-/// short ones, of which many are served in the place of a single long one.
+/// \returns the minimum rate at which answers of a length are granted, as a
+/// fraction of that of their whole tier. It rises slightly with each length
+/// class. Callers' estimates are off by half, so the answers that really are
+/// the longest are spread over two classes and served less often than either. A
+/// much higher rate would cost too many short answers, many of which fit in the
+/// place of a single long one.
 double Scheduler::leastPart(AnswerLength Length) {
-  constexpr double OfAnyLength = 0.55;
-  constexpr double OfEachFurther = 0.02;
-  return OfAnyLength + OfEachFurther * static_cast<double>(Length);
+  constexpr double BaseFraction = 0.55;
+  constexpr double FractionPerClass = 0.02;
+  return BaseFraction + FractionPerClass * static_cast<double>(Length);
 }
 
-/// Answers longer than usual go behind others only while their own length is
-/// served often enough. Counted together, those that were served were the
-/// shorter ones of them, and of the longest tenth one in five: one notices by
-/// refusals (211) of long guesses in a tier of which most are answered. With a
-/// count for each length none makes up for another; the places come from the
-/// same tier, never from a higher one.
+/// \returns whether an answer may be deferred because of its length. Longer
+/// answers are deferred only while their own length class is served often
+/// enough. If all of them were counted together, the shorter ones would be
+/// served and, of the longest tenth, only one in five. The symptom is refusals
+/// (211) of requests with long estimates in a tier of which most requests are
+/// answered. With a count for each class, no class makes up for another; the
+/// slots come from the same tier, never from a higher one.
 bool Scheduler::mayPutBack(TierIndex Tier, AnswerLength Length, TimePoint Now) {
   if (Length == UsualLength || !Options_.PutLongBack_)
     return false;
   TierQueue &Own = Tiers_[queueIndex(Tier)];
-  double PartOfAll = shareOfAll(Own, Now).part();
-  return Own.ShareByLength_[Length].part() >= leastPart(Length) * PartOfAll;
+  double GrantedOfAll = shareOfAll(Own, Now).part();
+  return Own.ShareByLength_[Length].part() >= leastPart(Length) * GrantedOfAll;
 }
 
-/// A request that would be refused after a long wait is refused at once; and a
-/// long one already after a short wait.
+/// RetryDelay whether to refuse a request immediately that would otherwise be
+/// refused after a long wait. A request whose long answer is deferred is
+/// refused after a shorter predicted wait.
 bool Scheduler::wouldWaitTooLong(const AskedRequest &Request,
-                                 const Standing &Place, TimePoint Now) {
+                                 const Standing &Priority, TimePoint Now) {
   if (!Options_.RefuseLongWaits_ || Request.MaxWait_.count() == 0)
     return false;
-  constexpr double LeastPart = 0.1;
-  double Part = 1;
-  if (Place.PutBack_)
-    Part = std::max(LeastPart, static_cast<double>(MeanHold_.count()) /
-                                   static_cast<double>(Place.Service_.count()));
-  std::chrono::duration<double, std::milli> Longest = Request.MaxWait_;
-  return predictedWait(Request.Tier_, Place.Late_, Now) > Longest * Part;
+  constexpr double MinFraction = 0.1;
+  double Fraction = 1;
+  if (Priority.PutBack_)
+    Fraction = std::max(MinFraction,
+                        static_cast<double>(MeanHold_.count()) /
+                            static_cast<double>(Priority.Service_.count()));
+  std::chrono::duration<double, std::milli> MaxWait = Request.MaxWait_;
+  return predictedWait(Request.Tier_, Priority.Late_, Now) > MaxWait * Fraction;
 }
 
-/// Leaves out engines that fail what they get, unless that would leave too few:
-/// the others would drown in what they can't take.
+/// Excludes engines that fail their requests, unless that would leave too few:
+/// the others would be overloaded.
 void Scheduler::judgeServers(TimePoint Now) {
-  auto Judged = [&](const auto &Item) {
+  auto IsExcluded = [&](const auto &Item) {
     return Item.second.health().leftOut(Now);
   };
-  auto LeftOut =
-      static_cast<std::size_t>(std::ranges::count_if(Servers_, Judged));
-  bool TooMany = 2 * LeftOut > Servers_.size();
+  auto ExcludedCount =
+      static_cast<std::size_t>(std::ranges::count_if(Servers_, IsExcluded));
+  bool TooMany = 2 * ExcludedCount > Servers_.size();
   for (auto &[Name, Server] : Servers_)
     Server.setLeftOut(!TooMany && Server.health().leftOut(Now),
                       !TooMany && Server.health().onTrial());
@@ -255,15 +273,15 @@
   return Servers_.empty() ? 0 : Sum / static_cast<double>(Servers_.size());
 }
 
-void Scheduler::judge(ServerModel &Server, const ServedSample &Seen,
+void Scheduler::judge(ServerModel &Server, const ServedSample &Sample,
                       TimePoint Now) {
-  if (Seen.Replaced_)
+  if (Sample.Replaced_)
     Server.markReplaced();
-  else if (Seen.Complete_)
+  else if (Sample.Complete_)
     Server.health().succeeded();
-  else if (Seen.Faulty_ && !Seen.Reached_)
+  else if (Sample.Faulty_ && !Sample.Reached_)
     Server.health().unreachable(Now);
-  else if (Seen.Faulty_)
+  else if (Sample.Faulty_)
     Server.health().failed(Now, poolFailureRate());
 }
 
--- a/Source/Process/Scheduling/SchedulerPlacement.cpp
+++ b/Source/Process/Scheduling/SchedulerPlacement.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Which engine a waiting request should go to, and whether it can finish there
-/// in time.
+/// Selects the engine for a waiting request, and decides whether the request
+/// can finish there in time.
 
 #include "Process/Scheduling/Scheduler.h"
 
@@ -12,21 +12,22 @@
 
 using std::chrono::nanoseconds;
 
-/// An engine counts as quick when it takes less than 3/2 of the time between
-/// tokens that the quickest one takes.
-constexpr int QuickFactor = 3;
-constexpr int QuickDivisor = 2;
+/// An engine counts as fast if its time between tokens is less than 3/2 of that
+/// of the fastest engine.
+constexpr int FastFactor = 3;
+constexpr int FastDivisor = 2;
 
-/// What is late in any case takes no quick engine, unless the others would
-/// take longer than this.
-constexpr std::chrono::milliseconds LateBudget{1000};
+/// Requests that miss their objective in any case use no fast engine, unless
+/// the other engines would take longer than this.
+constexpr std::chrono::milliseconds OverdueBudget{1000};
 
-/// A prompt that breaks the allowed pause on every engine may take this many
-/// times the least that it does anywhere.
+/// A prompt that exceeds the allowed pause on every engine may cause a pause of
+/// up to this many times the smallest one that it causes on any engine.
 constexpr int UnavoidableFactor = 2;
 
-/// Expected times are averages, and half of the requests take longer: a
-/// request is started only when a fifth of its expected time is left over.
+/// Adds a margin to an expected time. Expected times are averages, and half of
+/// the requests take longer: a request is started only if a fifth of its
+/// expected time is left over.
 nanoseconds withMargin(nanoseconds Expected) { return Expected + Expected / 5; }
 
 } // namespace
@@ -56,8 +57,8 @@
          Server.betweenTokens() * expectedAnswer(Request).count();
 }
 
-/// A request that an engine can't finish by its deadline would cost its
-/// prefill for nothing there; another engine may be faster.
+/// Returns whether the engine can finish the request by its deadline. If it
+/// can't, the prefill there would be wasted; another engine may be faster.
 bool Scheduler::finishesInTime(const AskedRequest &Request,
                                const ServerModel &Server, TimePoint Now) const {
   auto Service = expectedService(Request, Server);
@@ -66,7 +67,7 @@
   return Now + withMargin(Service) <= Request.Deadline_;
 }
 
-/// True when not even an idle engine could finish the request in time.
+/// True if not even an idle engine could finish the request in time.
 bool Scheduler::isDoomed(const AskedRequest &Request, TimePoint Now) const {
   auto Service = bestServiceTime(Request);
   return Options_.RefuseInfeasible_ && Service.count() > 0 &&
@@ -83,7 +84,7 @@
   return quickest(Request, Now, PrefixPlace::Elsewhere);
 }
 
-/// Whether the engine can take the request now.
+/// True if the engine can take the request now.
 bool Scheduler::canTake(const AskedRequest &Request, const ServerModel &Server,
                         TimePoint Now) const {
   bool Excluded =
@@ -92,7 +93,7 @@
          finishesInTime(Request, Server, Now);
 }
 
-/// The longest prompt that keeps the pause on an idle engine.
+/// The longest prompt that stays within the pause on an idle engine.
 Tokens Scheduler::longestKeeping(std::chrono::milliseconds Pause) const {
   if (!Options_.KeepPauses_ || Pause.count() == 0)
     return Round::Any;
@@ -105,12 +106,13 @@
   return Longest;
 }
 
-/// Whether the last looks in this round tell that no engine has room. Without
-/// it a queue of which nothing can be placed costs the keeper a look at each
-/// engine for each waiting request, at each message: its answers then come
-/// after its callers have left, and those who come back keep it so, long after
-/// the burst. One whose beginning is cached may need less room than a shorter
-/// prompt; it waits for the next round then.
+/// Returns whether earlier checks in this round show that no engine has room.
+/// Without this check, a queue of which nothing can be granted costs the keeper
+/// a check of every engine for each waiting request, at each message. Its
+/// answers then come after its callers have left, and callers that retry keep
+/// it in that state long after the burst. A prompt whose beginning is cached
+/// may need less room than a shorter one; such a request then waits for the
+/// next round.
 bool Scheduler::hasNoRoomAnywhere(const AskedRequest &Request) {
   if (Round_.Pause_ != Request.MaxPause_) {
     Round_ = Round();
@@ -121,32 +123,34 @@
          Request.Prompt_ <= Round_.LongestKeeping_;
 }
 
-/// The longest pause between events that the prompt may cause: what answers in
-/// time may have; or, for a prompt so long that it breaks that everywhere, a
-/// little more than on the engine where it does least harm.
+/// Returns the longest pause between events that the prompt may cause. This is
+/// the pause with which answers still meet their objective or, for a prompt so
+/// long that it exceeds that pause everywhere, a multiple of the smallest pause
+/// that it causes on any engine.
 nanoseconds Scheduler::longestPause(const AskedRequest &Request) const {
   if (!Options_.KeepPauses_ || Request.MaxPause_.count() == 0)
     return nanoseconds::max();
   if (Request.Prompt_ <= Round_.LongestKeeping_)
     return Request.MaxPause_;
-  nanoseconds Least = nanoseconds::max();
+  nanoseconds MinPause = nanoseconds::max();
   for (const auto &[Name, Server] : Servers_)
     if (Server.usable())
-      Least = std::min(Least, Server.betweenTokens() * TokensPerEvent_ +
-                                  Server.reading(Request.Prompt_));
-  if (Least == nanoseconds::max())
+      MinPause = std::min(MinPause, Server.betweenTokens() * TokensPerEvent_ +
+                                        Server.reading(Request.Prompt_));
+  if (MinPause == nanoseconds::max())
     return Request.MaxPause_;
-  return Least * UnavoidableFactor;
+  return MinPause * UnavoidableFactor;
 }
 
-/// Whether no pause between events at the engine gets longer than \p Longest.
+/// Returns whether no pause between events at the engine gets longer than \p
+/// Longest.
 ///
-/// An engine reads a prompt in chunks between the tokens of all that stream
-/// there: all of it, and what else it has not read, falls into the pause before
-/// one event. An engine that is quick enough for the first event of a long
-/// prompt may still break the pauses of its neighbours, and they pay: of
-/// answers whose caller accepts 250 ms, one in ten had a longer pause on the
-/// slow engines of a calm day.
+/// An engine reads a prompt in chunks between the tokens of all requests that
+/// stream there. The whole prompt, and all other unread prompts, therefore add
+/// to the pause before one event. An engine that is fast enough for the first
+/// event of a long prompt may still exceed the allowed pauses of the other
+/// requests: without this check, one in ten answers whose caller accepts 250 ms
+/// had a longer pause on slow engines, even under low load.
 bool Scheduler::keepsPauses(const AskedRequest &Request,
                             const ServerModel &Server,
                             nanoseconds Longest) const {
@@ -157,18 +161,18 @@
          Longest;
 }
 
-/// Of the engines on which the first event would come well within the
-/// objective, one that is not among the quick ones, if there is any: those are
-/// kept for long prompts, which only they read in time. Of several the one
-/// that is expected to answer first.
+/// Selects among the engines on which the first event is expected well within
+/// the objective. An engine that is not among the fast ones is preferred,
+/// because those are reserved for long prompts that only they read in time. Of
+/// several engines, the one that is expected to answer first is selected.
 ServerModel *Scheduler::justQuickEnough(const AskedRequest &Request,
                                         TimePoint Now) {
   if (hasNoRoomAnywhere(Request))
     return nullptr;
   EngineLooks_ += Servers_.size();
   auto Prefix = prefixOf(Request);
-  nanoseconds Quickest = quickestBetweenTokens();
-  nanoseconds Budget = LateBudget;
+  nanoseconds MinBetweenTokens = quickestBetweenTokens();
+  nanoseconds Budget = OverdueBudget;
   if (Request.Objective_ > Now + LeastFirstEvent)
     Budget = std::chrono::duration_cast<nanoseconds>(
         (Request.Objective_ - Now) * Options_.ObjectivePart_);
@@ -182,11 +186,12 @@
     AnyRoom = true;
     if (!canTake(Request, Server, Now))
       continue;
-    auto First = Server.expectedFirstToken(Request.Prompt_, Prefix);
-    bool Late = First > Budget;
-    bool Quick = Options_.KeepQuick_ &&
-                 Server.betweenTokens() * QuickDivisor < Quickest * QuickFactor;
-    auto Score = std::tuple(Late, !Late && Quick, First, Server.inFlight());
+    auto FirstToken = Server.expectedFirstToken(Request.Prompt_, Prefix);
+    bool ExceedsBudget = FirstToken > Budget;
+    bool Fast = Options_.KeepQuick_ && Server.betweenTokens() * FastDivisor <
+                                           MinBetweenTokens * FastFactor;
+    auto Score = std::tuple(ExceedsBudget, !ExceedsBudget && Fast, FirstToken,
+                            Server.inFlight());
     if (Best && Score >= BestScore)
       continue;
     Best = &Server;
@@ -198,25 +203,25 @@
 }
 
 nanoseconds Scheduler::quickestBetweenTokens() const {
-  nanoseconds Quickest{0};
+  nanoseconds MinBetweenTokens{0};
   for (const auto &[Name, Server] : Servers_) {
     nanoseconds Between = Server.betweenTokens();
     if (Server.usable() && Between.count() > 0 &&
-        (Quickest.count() == 0 || Between < Quickest))
-      Quickest = Between;
+        (MinBetweenTokens.count() == 0 || Between < MinBetweenTokens))
+      MinBetweenTokens = Between;
   }
-  return Quickest;
+  return MinBetweenTokens;
 }
 
-/// Where a long prompt should go, when not just anywhere. Its work done anew on
-/// another engine would cost that engine its time, and a full cache the blocks
-/// of another prompt, which then are worked on anew in turn. So while there is
-/// time, the request waits for an engine that has its beginning, or is about
-/// to.
+/// Returns where a long prompt should go, or nothing if any engine will do.
+/// Reading it again on another engine would cost that engine's time and, with a
+/// full cache, evict blocks of another prompt, which would then have to be read
+/// again in turn. While there is time, the request therefore waits for an
+/// engine that has cached its beginning or is reading it.
 std::optional<PrefixPlace> Scheduler::prefixPlace(const AskedRequest &Request,
                                                   TimePoint Now) const {
-  // With an objective there is no time to spare: a long prompt's own engine
-  // is preferred by its time alone.
+  // A request with an objective has no time to spare: the engine that has its
+  // prompt is preferred only through its expected time.
   if (Request.Objective_ != TimePoint())
     return std::nullopt;
   auto Prefix = prefixOf(Request);
@@ -234,9 +239,10 @@
   return HasTime ? std::optional(Best) : std::nullopt;
 }
 
-/// The engine with room that is expected to answer first, of those that have
-/// the prompt's beginning cached when \p Wanted says so. One that is only in
-/// progress is waited for.
+/// Selects the engine with room that is expected to answer first. If \p Wanted
+/// is Cached, only engines that have cached the prompt's beginning are
+/// considered. If it is PrefixPlace::InProgress, none is selected and the
+/// request waits.
 ServerModel *Scheduler::quickest(const AskedRequest &Request, TimePoint Now,
                                  PrefixPlace Wanted) {
   ServerModel *Best = nullptr;
@@ -285,46 +291,46 @@
   return Best == nanoseconds::max() ? nanoseconds(0) : withMargin(Best);
 }
 
-/// The first request that an engine with room can take, of those that could
-/// still be answered in time or, without \p InTime, of all.
+/// \returns the first request that an engine with room can take. With \p
+/// InTime, only requests that can still meet their objective are considered.
 std::optional<Scheduler::Placement>
 Scheduler::firstOf(const CustomerQueue &Queue, bool InTime, TimePoint Now) {
-  // A few are looked at one by one: the first may wait for its own engine
-  // while others could be served.
-  constexpr int LookedAt = 8;
-  int Seen = 0;
+  // A few requests are checked one by one: the first may wait for its own
+  // engine while others could be served.
+  constexpr int MaxChecked = 8;
+  int Checked = 0;
   for (const DeadlineKey &Key : Queue.Requests_) {
     RequestId Id = std::get<RequestId>(Key);
-    const AskedRequest &Asked = Waiting_.at(Id).Asked_;
-    if (InTime && Asked.Objective_ < Now + LeastFirstEvent)
+    const AskedRequest &Details = Waiting_.at(Id).Asked_;
+    if (InTime && Details.Objective_ < Now + LeastFirstEvent)
       continue;
-    if (ServerModel *Server = choose(Asked, Now))
+    if (ServerModel *Server = choose(Details, Now))
       return Placement{Id, Server};
-    if (!Options_.UsePrefixes_ || ++Seen == LookedAt)
+    if (!Options_.UsePrefixes_ || ++Checked == MaxChecked)
       break;
   }
   return std::nullopt;
 }
 
-/// The first request of the queue that an engine with room can finish in time.
-/// The one with the earliest deadline may only be for a fast engine; without a
-/// look further, slow engines would stand idle while it waits.
+/// \returns the first request of the queue that an engine with room can finish
+/// in time. The request with the earliest deadline may need a fast engine;
+/// without a further search, slow engines would be idle while it waits.
 std::optional<Scheduler::Placement>
 Scheduler::firstPlaceable(const CustomerQueue &Queue, TimePoint Now) {
   if (auto First = firstOf(Queue, false, Now))
     return First;
   RequestId Head = std::get<RequestId>(*Queue.Requests_.begin());
-  const AskedRequest &Asked = Waiting_.at(Head).Asked_;
+  const AskedRequest &Details = Waiting_.at(Head).Asked_;
   if (!Options_.RefuseInfeasible_)
     return std::nullopt;
   nanoseconds Soonest = nanoseconds::max();
   for (const auto &[Name, Server] : Servers_)
     if (Server.hasRoom(Share_))
-      Soonest = std::min(Soonest, expectedService(Asked, Server));
+      Soonest = std::min(Soonest, expectedService(Details, Server));
   if (Soonest == nanoseconds::max())
     return std::nullopt;
-  DeadlineKey Least{Now + withMargin(Soonest), 0, RequestId()};
-  auto Later = Queue.Requests_.lower_bound(Least);
+  DeadlineKey LowerBound{Now + withMargin(Soonest), 0, RequestId()};
+  auto Later = Queue.Requests_.lower_bound(LowerBound);
   if (Later == Queue.Requests_.end())
     return std::nullopt;
   RequestId Id = std::get<RequestId>(*Later);
--- a/Source/Process/Scheduling/ServerHealth.cpp
+++ b/Source/Process/Scheduling/ServerHealth.cpp
@@ -8,15 +8,17 @@
 
 /// Weight of the newest request in the failure rate: about the last ten count.
 constexpr double NewestWeight = 0.12;
-/// A rate below this is no reason, however well the others do.
-constexpr double LeastRate = 0.3;
-/// How much worse than the pool an engine must be: some requests fail for
-/// reasons of their own, at every engine alike.
-constexpr double WorseThanPool = 0.22;
-/// One connection may be lost to the network; two in a row point to the engine.
-constexpr int UnreachableTimes = 2;
-constexpr std::chrono::milliseconds FirstLeftOut{1000};
-constexpr int MostDoublings = 2;
+/// A failure rate up to this never excludes an engine, however low that of the
+/// pool is.
+constexpr double MinFailureRate = 0.3;
+/// How far an engine's failure rate must exceed that of the pool. Some requests
+/// fail for reasons of their own, equally at every engine.
+constexpr double MinExcessOverPool = 0.22;
+/// A single connection may be lost to the network; two in a row point to the
+/// engine.
+constexpr int MaxUnreachable = 2;
+constexpr std::chrono::milliseconds FirstExclusion{1000};
+constexpr int MaxDoublings = 2;
 
 } // namespace
 
@@ -31,23 +33,23 @@
 
 void ServerHealth::failed(TimePoint Now, double PoolFailureRate) {
   FailureRate_ += NewestWeight * (1 - FailureRate_);
-  bool Worse = FailureRate_ > LeastRate &&
-               FailureRate_ > PoolFailureRate + WorseThanPool;
+  bool Worse = FailureRate_ > MinFailureRate &&
+               FailureRate_ > PoolFailureRate + MinExcessOverPool;
   if (Worse || OnTrial_)
     leaveOut(Now);
 }
 
 void ServerHealth::unreachable(TimePoint Now) {
-  if (++Unreachable_ >= UnreachableTimes || OnTrial_)
+  if (++Unreachable_ >= MaxUnreachable || OnTrial_)
     leaveOut(Now);
 }
 
 void ServerHealth::leaveOut(TimePoint Now) {
-  // Requests that were sent before fail together; that is one occasion.
+  // Requests that were sent before the exclusion fail together and count once.
   if (leftOut(Now))
     return;
-  int Doublings = std::min(LeftOutTimes_++, MostDoublings);
-  LeftOutUntil_ = Now + FirstLeftOut * (1 << Doublings);
+  int Doublings = std::min(LeftOutTimes_++, MaxDoublings);
+  LeftOutUntil_ = Now + FirstExclusion * (1 << Doublings);
   OnTrial_ = true;
 }
 
--- a/Source/Process/Scheduling/ServerHealth.h
+++ b/Source/Process/Scheduling/ServerHealth.h
@@ -1,11 +1,12 @@
 #pragma once
 /// \file
-/// Whether an engine should get work, judged by what its requests came to
-/// rather than by its own health check, which may lie either way. Pure.
+/// Decides whether an engine should get work, from the outcome of its requests:
+/// its own health check may be wrong in either direction. The code is free of
+/// I/O.
 ///
-/// Load pattern: an engine that fails part of its requests at once looks idle,
-/// and would draw more and more of them. It is left out for a while, then tried
-/// by one request at a time.
+/// Load pattern: an engine that fails some of its requests immediately looks
+/// idle and would attract more and more of them. It is excluded for a while,
+/// then tried with one request at a time.
 
 #include <chrono>
 
@@ -16,13 +17,13 @@
   using TimePoint = std::chrono::steady_clock::time_point;
 
   void succeeded();
-  /// The engine failed a request that it may have run.
+  /// Records a failed request that the engine may have run.
   void failed(TimePoint Now, double PoolFailureRate);
-  /// The engine could not be reached.
+  /// Records that the engine could not be reached.
   void unreachable(TimePoint Now);
 
   bool leftOut(TimePoint Now) const { return Now < LeftOutUntil_; }
-  /// It was left out, and nothing has succeeded since.
+  /// True if the engine was excluded and no request has succeeded since.
   bool onTrial() const { return OnTrial_; }
   double failureRate() const { return FailureRate_; }
 
--- a/Source/Process/Scheduling/ServerModel.cpp
+++ b/Source/Process/Scheduling/ServerModel.cpp
@@ -12,14 +12,14 @@
 /// Weight of a new sample in the running averages.
 constexpr double NewSampleWeight = 0.2;
 
-/// An engine gets no further prompt while it has so much to read: the prompt
-/// would wait there behind others whatever its tier, and hold up the events of
-/// all that run there.
-constexpr std::chrono::milliseconds LongestUnread{120};
-
-/// Prompts with fewer shared blocks drive nothing worth keeping out.
-constexpr std::size_t LongPrefixBlocks = 8;
-/// How often evicted prompt work is expected to be done again.
+/// An engine gets no further prompt while it has this much to read. The prompt
+/// would wait there behind others regardless of its tier, and delay the events
+/// of all requests that run there.
+constexpr std::chrono::milliseconds MaxUnreadTime{120};
+
+/// Prompts with fewer shared blocks than this evict nothing worth keeping.
+constexpr std::size_t MinLongPrefixBlocks = 8;
+/// How often evicted prompt work is expected to be repeated.
 constexpr int EvictedWorkFactor = 4;
 
 double blend(double Old, double Sample) {
@@ -40,10 +40,10 @@
         static_cast<std::size_t>(Capacity.CacheTokens_.count() / BlockTokens));
 }
 
-/// The engine is a new process under its old name. Counted on, what it had
-/// would mislead: places would seem taken by requests that ended with the old
-/// process, and prompts would go there for a cache that is empty. How fast the
-/// engine is stays known.
+/// Resets the state that belonged to the previous process of the engine. If it
+/// were retained, slots would seem occupied by requests that ended with that
+/// process, and prompts would be sent to a cache that is empty. The measured
+/// speed is kept.
 void ServerModel::restarted() {
   Limit_ = Capacity_.MaxInFlight_;
   Reachable_ = true;
@@ -66,22 +66,23 @@
   Capacity_ = Capacity;
 }
 
-void ServerModel::adaptLimit(const LoadReport &Seen) {
-  // The report lags: what it counts as waiting may have been granted before
-  // the limit came down, so one place more than the running ones is left.
-  if (Seen.Waiting_ > 1)
-    Limit_ = std::min(Limit_, std::max(1U, Seen.Running_ + 1));
-  else if (Seen.Waiting_ == 0 && inFlight() >= Limit_)
+void ServerModel::adaptLimit(const LoadReport &Report) {
+  // The report is out of date: requests that it counts as waiting may have been
+  // granted before the limit was lowered. One slot more than the running
+  // requests is therefore left.
+  if (Report.Waiting_ > 1)
+    Limit_ = std::min(Limit_, std::max(1U, Report.Running_ + 1));
+  else if (Report.Waiting_ == 0 && inFlight() >= Limit_)
     Limit_ = std::min(Limit_ + 1, Capacity_.MaxInFlight_);
 }
 
 bool ServerModel::hasRoom(double Share) const {
-  // A keeper that speaks for a part of the fleet uses that part of the limit,
-  // but at least one place: keepers on both sides of a partition may then
-  // together exceed the limit by one each at the most.
+  // A keeper that is responsible for a fraction of the fleet uses that fraction
+  // of the limit, but at least one slot. Keepers on both sides of a partition
+  // may then together exceed the limit by at most one each.
   double Limit = OnTrial_ ? 1.0 : std::floor(Limit_ * Share);
   return usable() && inFlight() < std::max(1.0, Limit) &&
-         unreadTime() < LongestUnread;
+         unreadTime() < MaxUnreadTime;
 }
 
 void ServerModel::start(const RequestId &Id, Tokens Prompt,
@@ -108,15 +109,16 @@
   return Duration_ / places() * (inFlight() - places() + 1);
 }
 
-void ServerModel::firstToken(const RequestId &Id, const FirstTokenSample &Seen,
+void ServerModel::firstToken(const RequestId &Id,
+                             const FirstTokenSample &Sample,
                              EngineSpeed &Typical) {
   auto Found = Prefilling_.find(Id);
   if (Found == Prefilling_.end())
     return;
   const PrefillWork &Done = Found->second;
   if (Done.HadPlace_) {
-    Speed_.firstToken(Done.WithThoseAhead_, Seen.Delay_);
-    Typical.firstToken(Done.WithThoseAhead_, Seen.Delay_);
+    Speed_.firstToken(Done.WithThoseAhead_, Sample.Delay_);
+    Typical.firstToken(Done.WithThoseAhead_, Sample.Delay_);
   }
   Prefixes_.insert(Done.Prefix_);
   endPrefill(Id);
@@ -138,24 +140,24 @@
 }
 
 PrefixPlace ServerModel::placeOf(std::span<const std::uint64_t> Prefix) const {
-  if (Prefix.size() < LongPrefixBlocks)
+  if (Prefix.size() < MinLongPrefixBlocks)
     return PrefixPlace::Elsewhere;
   std::size_t Half = Prefix.size() / 2;
   if (Prefixes_.cachedBlocks(Prefix) >= Half)
     return PrefixPlace::Cached;
-  bool Begun =
+  bool InProgress =
       std::ranges::all_of(Prefix.first(Half), [this](std::uint64_t Block) {
         return InProgress_.contains(Block) || Prefixes_.contains(Block);
       });
-  return Begun ? PrefixPlace::InProgress : PrefixPlace::Elsewhere;
+  return InProgress ? PrefixPlace::InProgress : PrefixPlace::Elsewhere;
 }
 
-void ServerModel::learn(const ServedSample &Seen, EngineSpeed &Typical) {
-  if (!Seen.Complete_)
+void ServerModel::learn(const ServedSample &Sample, EngineSpeed &Typical) {
+  if (!Sample.Complete_)
     return;
-  Duration_ = blend(Duration_, nanoseconds(Seen.Duration_));
-  auto Streaming = nanoseconds(Seen.Duration_ - Seen.FirstToken_);
-  Tokens AfterFirst = Seen.Generated_ - Seen.AtOnce_;
+  Duration_ = blend(Duration_, nanoseconds(Sample.Duration_));
+  auto Streaming = nanoseconds(Sample.Duration_ - Sample.FirstToken_);
+  Tokens AfterFirst = Sample.Generated_ - Sample.AtOnce_;
   Speed_.stream(AfterFirst, Streaming);
   Typical.stream(AfterFirst, Streaming);
 }
@@ -170,7 +172,7 @@
 nanoseconds
 ServerModel::evictionCost(Tokens Prompt,
                           std::span<const std::uint64_t> Prefix) const {
-  if (Prefix.size() < LongPrefixBlocks || !Prefixes_.full())
+  if (Prefix.size() < MinLongPrefixBlocks || !Prefixes_.full())
     return nanoseconds(0);
   return EvictedWorkFactor * Speed_.reading(uncached(Prompt, Prefix));
 }
--- a/Source/Process/Scheduling/ServerModel.h
+++ b/Source/Process/Scheduling/ServerModel.h
@@ -1,7 +1,7 @@
 #pragma once
 /// \file
-/// What a keeper knows of one engine: what it granted there, how fast the
-/// engine has been seen to be, and which prompt prefixes it has likely cached.
+/// A keeper's model of one engine: the requests granted there, its measured
+/// speed, and the prompt prefixes that it has likely cached.
 
 #include "Common/Ids.h"
 #include "Common/TimePoint.h"
@@ -20,27 +20,30 @@
 
 struct ServerCapacity {
   ServerName Name_;
-  /// What may be sent there, with what waits inside the engine.
+  /// Maximum number of requests sent to the engine, including those queued
+  /// inside it.
   std::uint32_t MaxInFlight_ = 1;
   bool Active_ = true;
-  /// Tokens that its cache holds; 0 is unknown.
+  /// Number of tokens that the engine's cache holds; 0 means unknown.
   Tokens CacheTokens_{0};
-  /// Of MaxInFlight_, what waits inside the engine for a place to get free.
+  /// The number of requests of MaxInFlight_ that are queued inside the engine
+  /// until a slot is free.
   std::uint32_t Ahead_ = 0;
-  /// The engine's present process; 0 is unknown.
+  /// The engine's current process; 0 means unknown.
   Incarnation Incarnation_;
 };
 
-/// A request that ended.
+/// The outcome of a request.
 struct ServedSample {
-  bool Reached_ = false;  ///< Its bytes were sent to the engine.
-  bool Complete_ = false; ///< The whole answer came.
-  /// The server could not be reached, broke off or answered with an error.
+  bool Reached_ = false;  ///< Bytes of the request were sent to the engine.
+  bool Complete_ = false; ///< The whole answer was received.
+  /// The server could not be reached, closed the connection early or answered
+  /// with an error.
   bool Faulty_ = false;
-  /// Another server answered at its address: the one that was meant is gone.
+  /// Another server answered at the address: the intended one is gone.
   bool Replaced_ = false;
   Tokens Generated_;
-  /// Tokens that came at once, in the first event.
+  /// Number of tokens in the first event.
   Tokens AtOnce_{1};
   std::chrono::microseconds FirstToken_{0};
   std::chrono::microseconds Duration_{0};
@@ -50,7 +53,8 @@
   std::chrono::microseconds Delay_{0};
 };
 
-/// An engine's own report; it lags.
+/// The load that an engine reports about itself; it is out of date by some
+/// time.
 struct LoadReport {
   std::uint32_t Running_ = 0;
   std::uint32_t Waiting_ = 0;
@@ -66,24 +70,24 @@
 
   void configure(const ServerCapacity &Capacity);
   const ServerCapacity &capacity() const { return Capacity_; }
-  /// False while the engine does not answer its keeper.
+  /// Sets whether the engine answers its keeper.
   void setReachable(bool Reachable) { Reachable_ = Reachable; }
   bool reachable() const { return Capacity_.Active_ && Reachable_; }
-  /// False when the keeper's own view of engines is not to be believed.
+  /// Sets whether the keeper's own view of reachability is reliable.
   void trustReachability(bool Trusted) { ReachabilityTrusted_ = Trusted; }
-  /// True when the engine may get new work.
+  /// True if the engine may get new work.
   bool usable() const {
     bool Answers = Reachable_ || !ReachabilityTrusted_;
     return Capacity_.Active_ && !Reported_.Leaving_ && Answers && !LeftOut_ &&
            !Replaced_;
   }
   Incarnation incarnation() const { return Capacity_.Incarnation_; }
-  /// Another server answers at its address. It stays gone, whatever the
-  /// directory still says, until it starts again.
+  /// Marks the engine as gone because another server answers at its address. It
+  /// stays gone until it starts again, even while the directory still lists it.
   void markReplaced() { Replaced_ = true; }
   ServerHealth &health() { return Health_; }
   const ServerHealth &health() const { return Health_; }
-  /// Keeps work from the engine, or lets it have one request at a time.
+  /// Excludes the engine from new work, or limits it to one request at a time.
   void setLeftOut(bool LeftOut, bool OnTrial) {
     LeftOut_ = LeftOut;
     OnTrial_ = OnTrial;
@@ -92,20 +96,22 @@
 
   void start(const RequestId &Id, Tokens Prompt,
              std::span<const std::uint64_t> Prefix);
-  /// \p Typical learns what all engines of the pool are like.
-  void firstToken(const RequestId &Id, const FirstTokenSample &Seen,
+  /// Records the first token of a request; \p Typical learns from it too, for
+  /// all engines of the pool.
+  void firstToken(const RequestId &Id, const FirstTokenSample &Sample,
                   EngineSpeed &Typical);
   void end(const RequestId &Id);
-  /// What the engine has of a long prompt's beginning.
+  /// \returns where the beginning of a long prompt is.
   PrefixPlace placeOf(std::span<const std::uint64_t> Prefix) const;
-  void learn(const ServedSample &Seen, EngineSpeed &Typical);
-  void report(const LoadReport &Seen) { Reported_ = Seen; }
-  /// Moves the limit by a report: down to what the engine works on when it
-  /// lets requests wait, since they wait there in the order of their coming;
-  /// up by one when the limit is what holds requests back.
-  void adaptLimit(const LoadReport &Seen);
+  void learn(const ServedSample &Sample, EngineSpeed &Typical);
+  void report(const LoadReport &Report) { Reported_ = Report; }
+  /// Adapts the limit to a report. The limit is lowered to what the engine
+  /// works on if requests wait inside it, since they wait there in order of
+  /// arrival regardless of their tier. It is raised by one when the limit is
+  /// what holds requests back.
+  void adaptLimit(const LoadReport &Report);
   std::uint32_t limit() const { return Limit_; }
-  /// Requests at the engine by its own last report.
+  /// Number of requests at the engine according to its last report.
   std::uint32_t reportedLoad() const {
     return Reported_.Running_ + Reported_.Waiting_;
   }
@@ -113,43 +119,46 @@
   std::uint32_t inFlight() const {
     return static_cast<std::uint32_t>(InFlight_.size());
   }
-  /// It was granted there, to the engine's present process.
+  /// True if the request was granted to the engine's current process.
   bool runs(const RequestId &Id) const { return InFlight_.contains(Id); }
-  /// Expected time until the first token of a request started now, a wait for
-  /// a place of the engine included.
+  /// Expected time until the first token of a request that starts now,
+  /// including the wait for a slot of the engine.
   std::chrono::nanoseconds
   expectedFirstToken(Tokens Prompt,
                      std::span<const std::uint64_t> Prefix) const;
-  /// Expected cost of prompt work that the engine would do anew: its time, and
-  /// as much again for each time that it has to be redone because this prompt
-  /// drove another one's blocks out of a full cache.
+  /// Expected cost of reading a prompt that is not cached: the reading time,
+  /// and as much again for each time that work has to be repeated because this
+  /// prompt evicts another one's blocks from a full cache.
   std::chrono::nanoseconds
   evictionCost(Tokens Prompt, std::span<const std::uint64_t> Prefix) const;
-  /// Expected time between tokens; 0 while nothing was seen.
+  /// Expected time between tokens; 0 while unknown.
   std::chrono::nanoseconds betweenTokens() const {
     return Speed_.betweenTokens();
   }
-  /// Time that the engine needs for the prompts that it has not read yet.
+  /// Expected time for the prompts that the engine has not read yet.
   std::chrono::nanoseconds unreadTime() const {
     return Speed_.reading(PendingPrefill_);
   }
-  /// Time for reading a prompt, with nothing cached and nothing else to read.
+  /// Expected time for reading a prompt, with nothing cached and nothing else
+  /// to read.
   std::chrono::nanoseconds reading(Tokens Prompt) const {
     return Speed_.reading(Prompt);
   }
-  /// The longest prompt that it reads within \p Time.
+  /// The longest prompt that the engine reads within \p Time.
   Tokens readable(std::chrono::nanoseconds Time) const {
     return Speed_.readable(Time);
   }
-  /// Time for all prompts that it has not read, with this one.
+  /// Expected time for all prompts that the engine has not read yet, including
+  /// this one.
   std::chrono::nanoseconds
   readingWith(Tokens Prompt, std::span<const std::uint64_t> Prefix) const {
     return Speed_.reading(PendingPrefill_ + uncached(Prompt, Prefix));
   }
-  /// What is believed of the engine before its own requests tell.
+  /// Sets the speed that is assumed until the engine's own requests are
+  /// measured.
   void assume(const EngineSpeed &Typical) { Speed_.assume(Typical); }
-  /// Time that the request would take with nothing else to do first; 0 while
-  /// too little was seen, and for engines that give no tokens.
+  /// Expected time for the request on an idle engine; 0 while too little is
+  /// known, and for engines that produce no tokens.
   std::chrono::nanoseconds
   idleService(Tokens Prompt, Tokens Answer,
               std::span<const std::uint64_t> Prefix) const;
@@ -161,7 +170,7 @@
   Tokens uncached(Tokens Prompt, std::span<const std::uint64_t> Prefix) const;
 
   ServerCapacity Capacity_;
-  /// At the most the document's limit.
+  /// The adapted limit; never above the limit of the document.
   std::uint32_t Limit_;
   bool Reachable_ = true;
   bool ReachabilityTrusted_ = true;
@@ -176,7 +185,7 @@
     Tokens Own_;
     Tokens WithThoseAhead_;
     std::vector<std::uint64_t> Prefix_;
-    /// It did not have to wait for a place in the engine.
+    /// The request did not have to wait for a slot in the engine.
     bool HadPlace_ = true;
   };
   std::uint32_t places() const;
@@ -184,7 +193,8 @@
   void endPrefill(const RequestId &Id);
 
   std::unordered_map<RequestId, PrefillWork> Prefilling_;
-  /// Blocks of prompts that are being worked on, with their number.
+  /// Blocks of prompts that are being read, with the number of requests that
+  /// have them.
   std::unordered_map<std::uint64_t, int> InProgress_;
   Tokens PendingPrefill_;
   EngineSpeed Speed_;
--- a/Tools/mutations.sh
+++ b/Tools/mutations.sh
@@ -335,10 +335,10 @@
   's/Cell\.Index_ % MostKeepers/Cell.Index_/' \
   ${U}AllotmentOfManyCells '*'
 mutate allotment-both-buckets $S/Process/Scheduling/AllotmentLedger.cpp \
-  's/if \(!OfBoth\)/if (true)/' \
+  's/if \(!FitsBoth\)/if (true)/' \
   ${U}AllotmentOfManyCells '*'
 mutate allotment-overflow $S/Process/Scheduling/AllotmentLedger.cpp \
-  's/ \* Seconds \+ Over;/ * Seconds;/' \
+  's/ \* Seconds \+ Overflow;/ * Seconds;/' \
   ${U}AllotmentOfManyCells '*'
 
 [ "$Missed" -eq 0 ] && echo "every mutation was caught"
