--- a/Source/Process/Scheduling/Scheduler.h
+++ b/Source/Process/Scheduling/Scheduler.h
@@ -46,10 +46,10 @@
   Tokens Prompt_;
   Tokens Answer_; ///< Maximum number of generated tokens.
   /// The caller's estimate of the answer's length; 0 means none. The estimate
-  /// is right on average, but more often than not it is off by half.
+  /// is right in the median, but more often than not it is off by half.
   Tokens Guessed_;
-  /// The caller retries, or another cell refused the request. A caller that
-  /// retries often must not be counted as several refused callers.
+  /// True if the caller retries, or another cell refused the request. A caller
+  /// that retries often must not be counted as several refused callers.
   bool AskedBefore_ = false;
   std::vector<std::uint64_t> Prefix_; ///< Hashes of the prompt's blocks.
   /// The parts from which Prefix_ was computed, where only the parts of the
--- a/Source/Process/Scheduling/SchedulerPlacement.cpp
+++ b/Source/Process/Scheduling/SchedulerPlacement.cpp
@@ -240,8 +240,8 @@
 }
 
 /// Selects the engine with room that is expected to answer first. If \p Wanted
-/// is Cached, only engines that have cached the prompt's beginning are
-/// considered. If it is PrefixPlace::InProgress, none is selected and the
+/// is PrefixPlace::Cached, only engines that have cached the prompt's beginning
+/// are considered. If it is PrefixPlace::InProgress, none is selected and the
 /// request waits.
 ServerModel *Scheduler::quickest(const AskedRequest &Request, TimePoint Now,
                                  PrefixPlace Wanted) {
--- a/UnitTests/Process/Scheduling/EngineSpeedTest.cpp
+++ b/UnitTests/Process/Scheduling/EngineSpeedTest.cpp
@@ -7,13 +7,15 @@
 
 namespace {
 
-milliseconds untilFirst(const EngineSpeed &Speed, std::int64_t Unread) {
+milliseconds millisUntilFirstToken(const EngineSpeed &Speed,
+                                   std::int64_t Unread) {
   return std::chrono::duration_cast<milliseconds>(
       Speed.untilFirstToken(Tokens(Unread)));
 }
 
-/// First tokens after 40 ms and so many microseconds a token.
-EngineSpeed reading(int MicrosPerToken) {
+/// \returns the speed of an engine whose first tokens come after 40 ms plus \p
+/// MicrosPerToken for each token.
+EngineSpeed measuredSpeed(int MicrosPerToken) {
   EngineSpeed Speed;
   for (std::int64_t Unread : {200, 400, 900, 1600, 3000, 500, 2500, 1200})
     Speed.firstToken(Tokens(Unread), std::chrono::microseconds(
@@ -23,29 +25,31 @@
 
 } // namespace
 
-TEST_CASE("the fixed part of a first token is told from that of its prompt") {
-  // Symptom: long prompts are read on engines that take three times as long.
-  // Sequence: engines answer short prompts, mostly within the fixed 40 ms.
-  // Cause: the delay was divided by the tokens: 15 and 44 us a token looked
-  // like 95 and 124.
-  CHECK(untilFirst(reading(15), 10000).count() ==
+TEST_CASE(
+    "the fixed time of a first token is separated from the reading time") {
+  // Guards against dividing the whole delay by the number of tokens. With short
+  // prompts, most of the delay is the fixed 40 ms, so 15 and 44 us per token
+  // look like 95 and 124. Long prompts then go to engines that take three times
+  // as long.
+  CHECK(millisUntilFirstToken(measuredSpeed(15), 10000).count() ==
         doctest::Approx(190).epsilon(0.02));
-  CHECK(untilFirst(reading(44), 10000).count() ==
+  CHECK(millisUntilFirstToken(measuredSpeed(44), 10000).count() ==
         doctest::Approx(480).epsilon(0.02));
 }
 
-TEST_CASE("prompts of one length count whole for their tokens") {
+TEST_CASE("with prompts of one length the whole delay counts for the tokens") {
   EngineSpeed Speed;
   for (int Count = 0; Count < 10; ++Count)
     Speed.firstToken(Tokens(1000), milliseconds(100));
-  CHECK(untilFirst(Speed, 1000).count() == doctest::Approx(100).epsilon(0.02));
-  CHECK(untilFirst(Speed, 2000).count() == doctest::Approx(200).epsilon(0.02));
+  CHECK(millisUntilFirstToken(Speed, 1000).count() ==
+        doctest::Approx(100).epsilon(0.02));
+  CHECK(millisUntilFirstToken(Speed, 2000).count() ==
+        doctest::Approx(200).epsilon(0.02));
 }
 
-TEST_CASE("answers of one event say nothing of the time between tokens") {
-  // Symptom: an engine that just gave a few short answers is taken for the
-  // quickest of all.
-  // Cause: no time passes after the only event of an answer.
+TEST_CASE("answers of one event do not change the time between tokens") {
+  // No time passes after the only event of an answer. Guards against taking an
+  // engine that just gave a few short answers for the fastest of all.
   EngineSpeed Speed;
   Speed.stream(Tokens(100), milliseconds(800));
   for (int Count = 0; Count < 20; ++Count)
@@ -53,7 +57,8 @@
   CHECK(Speed.betweenTokens() == milliseconds(8));
 }
 
-TEST_CASE("an engine that slows down is believed within some thousand tokens") {
+TEST_CASE(
+    "an engine that slows down is recognized within some thousand tokens") {
   EngineSpeed Speed;
   Speed.stream(Tokens(5000), milliseconds(15000));
   CHECK(Speed.betweenTokens() == milliseconds(3));
@@ -62,17 +67,18 @@
   CHECK(Speed.betweenTokens() > milliseconds(10));
 }
 
-TEST_CASE("a new engine is assumed to be like its pool until it shows more") {
-  EngineSpeed Pool = reading(44);
+TEST_CASE("a new engine is assumed to be like its pool until it is measured") {
+  EngineSpeed Pool = measuredSpeed(44);
   Pool.stream(Tokens(1000), milliseconds(8000));
   EngineSpeed Fresh;
   CHECK_FALSE(Fresh.known());
   Fresh.assume(Pool);
   CHECK(Fresh.known());
-  CHECK(untilFirst(Fresh, 3000).count() == doctest::Approx(172).epsilon(0.05));
+  CHECK(millisUntilFirstToken(Fresh, 3000).count() ==
+        doctest::Approx(172).epsilon(0.05));
   for (std::int64_t Unread : {200, 400, 900, 1600, 3000, 500, 2500, 1200, 700,
                               2000, 300, 2800, 1500, 800, 1000, 2200})
     Fresh.firstToken(Tokens(Unread),
                      std::chrono::microseconds(40000 + 15 * Unread));
-  CHECK(untilFirst(Fresh, 3000).count() < 120);
+  CHECK(millisUntilFirstToken(Fresh, 3000).count() < 120);
 }
--- a/UnitTests/Process/Scheduling/NaiveScheduler.h
+++ b/UnitTests/Process/Scheduling/NaiveScheduler.h
@@ -1,7 +1,7 @@
 #pragma once
 /// \file
-/// The scheduler's rules over one list that is scanned for every decision: slow
-/// and plain, to compare the real one with.
+/// The scheduler's rules, implemented as a scan of one list for every decision:
+/// a slow, simple reference for the real scheduler.
 
 #include "Process/Scheduling/Scheduler.h"
 
@@ -60,13 +60,13 @@
 
   void done(const RequestId &Id) { end(Id); }
 
-  std::vector<RequestId> removeEntry(const VmId &Entry) {
-    std::erase_if(Waiting_, [&](const WaitingEntry &One) {
-      return One.Asked_.Entry_ == Entry;
+  std::vector<RequestId> removeEntry(const VmId &Ingress) {
+    std::erase_if(Waiting_, [&](const WaitingRequest &One) {
+      return One.Asked_.Entry_ == Ingress;
     });
     std::vector<RequestId> Orphans;
     for (const RunningRequest &One : Running_)
-      if (One.Entry_ == Entry)
+      if (One.Entry_ == Ingress)
         Orphans.push_back(One.Id_);
     for (const RequestId &Id : Orphans)
       end(Id);
@@ -85,22 +85,22 @@
   const std::vector<RunningRequest> &running() const { return Running_; }
   std::size_t waitingBelow(TierIndex Tier) const {
     return static_cast<std::size_t>(
-        std::ranges::count_if(Waiting_, [&](const WaitingEntry &One) {
+        std::ranges::count_if(Waiting_, [&](const WaitingRequest &One) {
           return One.Asked_.Tier_ > Tier;
         }));
   }
   bool cancelled(const RequestId &Id) const { return Cancelled_.contains(Id); }
 
 private:
-  struct WaitingEntry {
+  struct WaitingRequest {
     AskedRequest Asked_;
     std::uint64_t Arrival_ = 0;
     bool Preempting_ = false;
   };
   using ServedKey = std::pair<TierIndex, CustomerName>;
 
-  std::vector<WaitingEntry>::iterator find(const RequestId &Id) {
-    return std::ranges::find_if(Waiting_, [&](const WaitingEntry &One) {
+  std::vector<WaitingRequest>::iterator find(const RequestId &Id) {
+    return std::ranges::find_if(Waiting_, [&](const WaitingRequest &One) {
       return One.Asked_.Id_ == Id;
     });
   }
@@ -120,7 +120,7 @@
   }
 
   bool waits(const ServedKey &Key) const {
-    return std::ranges::any_of(Waiting_, [&](const WaitingEntry &One) {
+    return std::ranges::any_of(Waiting_, [&](const WaitingRequest &One) {
       return One.Asked_.Tier_ == Key.first &&
              One.Asked_.Customer_ == Key.second;
     });
@@ -130,18 +130,18 @@
     ServedKey Key{Request.Tier_, Request.Customer_};
     if (waits(Key))
       return;
-    std::optional<double> Least;
-    for (const WaitingEntry &One : Waiting_)
+    std::optional<double> MinServed;
+    for (const WaitingRequest &One : Waiting_)
       if (One.Asked_.Tier_ == Request.Tier_) {
         double Served = Served_[{One.Asked_.Tier_, One.Asked_.Customer_}];
-        Least = Least ? std::min(*Least, Served) : Served;
+        MinServed = MinServed ? std::min(*MinServed, Served) : Served;
       }
     double &Own = Served_[Key];
-    Own = std::max(Own, Least.value_or(Own));
+    Own = std::max(Own, MinServed.value_or(Own));
   }
 
-  /// The order in which waiting requests are served.
-  auto order(const WaitingEntry &One) {
+  /// \returns the key that orders waiting requests by when they are served.
+  auto order(const WaitingRequest &One) {
     ServedKey Key{One.Asked_.Tier_, One.Asked_.Customer_};
     return std::tuple(One.Asked_.Tier_, Served_[Key], One.Asked_.Customer_,
                       One.Asked_.Deadline_, One.Arrival_);
@@ -171,39 +171,39 @@
   }
 
   bool grantOne(std::vector<Decision> &Out) {
-    std::vector<WaitingEntry> Sorted = Waiting_;
+    std::vector<WaitingRequest> Sorted = Waiting_;
     std::ranges::sort(Sorted, {},
-                      [this](const WaitingEntry &One) { return order(One); });
+                      [this](const WaitingRequest &One) { return order(One); });
     std::map<ServedKey, int> Tried;
-    constexpr int LookedAt = 8;
-    for (const WaitingEntry &One : Sorted) {
-      const AskedRequest &Asked = One.Asked_;
-      // Only the first few of each customer in a tier are looked at.
-      bool TooMany = ++Tried[{Asked.Tier_, Asked.Customer_}] > LookedAt;
-      if (TooMany || atCeiling(Asked.Customer_))
+    constexpr int MaxChecked = 8;
+    for (const WaitingRequest &One : Sorted) {
+      const AskedRequest &Details = One.Asked_;
+      // Only the first few requests of each customer in a tier are considered.
+      bool TooMany = ++Tried[{Details.Tier_, Details.Customer_}] > MaxChecked;
+      if (TooMany || atCeiling(Details.Customer_))
         continue;
-      ServerModel *Server = choose(Asked);
+      ServerModel *Server = choose(Details);
       if (!Server)
         continue;
-      serve(Asked, *Server, Out);
+      serve(Details, *Server, Out);
       return true;
     }
     return false;
   }
 
-  void serve(AskedRequest Asked, ServerModel &Server,
+  void serve(AskedRequest Details, ServerModel &Server,
              std::vector<Decision> &Out) {
     double Cost = static_cast<double>(
-        std::max<std::int64_t>(1, (Asked.Prompt_ + Asked.Answer_).count()));
-    Served_[{Asked.Tier_, Asked.Customer_}] +=
-        Cost / Shares_.at(Asked.Customer_).Weight_;
-    Waiting_.erase(find(Asked.Id_));
-    Server.start(Asked.Id_, Asked.Prompt_, Asked.Prefix_);
+        std::max<std::int64_t>(1, (Details.Prompt_ + Details.Answer_).count()));
+    Served_[{Details.Tier_, Details.Customer_}] +=
+        Cost / Shares_.at(Details.Customer_).Weight_;
+    Waiting_.erase(find(Details.Id_));
+    Server.start(Details.Id_, Details.Prompt_, Details.Prefix_);
     ServerName Name = Server.capacity().Name_;
-    Running_.push_back({Asked.Id_, Asked.Tier_, Asked.Customer_, Name,
-                        Asked.Prompt_, Asked.Answer_, Asked.NonIdempotent_,
-                        Asked.Entry_});
-    Out.push_back(GrantDecision{Asked.Id_, Name, Asked.Entry_});
+    Running_.push_back({Details.Id_, Details.Tier_, Details.Customer_, Name,
+                        Details.Prompt_, Details.Answer_,
+                        Details.NonIdempotent_, Details.Entry_});
+    Out.push_back(GrantDecision{Details.Id_, Name, Details.Entry_});
   }
 
   bool shedLowest(TierIndex Above, std::vector<Decision> &Out) {
@@ -250,7 +250,7 @@
 
   std::vector<RequestId> dueBy(TimePoint Limit) const {
     std::vector<std::pair<TimePoint, RequestId>> Due;
-    for (const WaitingEntry &One : Waiting_)
+    for (const WaitingRequest &One : Waiting_)
       if (One.Asked_.Deadline_ <= Limit)
         Due.emplace_back(One.Asked_.Deadline_, One.Asked_.Id_);
     std::ranges::sort(Due);
@@ -273,10 +273,10 @@
       auto One = find(Id);
       if (One == Waiting_.end())
         continue;
-      AskedRequest Asked = One->Asked_;
+      AskedRequest Details = One->Asked_;
       Waiting_.erase(One);
-      noteShed(Asked.Tier_, Now, Out);
-      refuse(Asked, ResultCode::DeadlineInQueue, Out);
+      noteShed(Details.Tier_, Now, Out);
+      refuse(Details, ResultCode::DeadlineInQueue, Out);
     }
   }
 
@@ -284,7 +284,7 @@
   std::map<ServerName, ServerModel> Servers_;
   std::map<CustomerName, CustomerShare> Shares_;
   std::map<ServedKey, double> Served_;
-  std::vector<WaitingEntry> Waiting_;
+  std::vector<WaitingRequest> Waiting_;
   std::vector<RunningRequest> Running_;
   std::set<RequestId> Cancelled_;
   std::optional<TierIndex> Floor_;
--- a/UnitTests/Process/Scheduling/PrefixIndexTest.cpp
+++ b/UnitTests/Process/Scheduling/PrefixIndexTest.cpp
@@ -12,27 +12,28 @@
   bool Holds = rc::check([] {
     constexpr std::size_t MaxBlocks = 8;
     PrefixIndex Index(MaxBlocks);
-    std::vector<std::uint64_t> Plain; // The oldest first.
+    std::vector<std::uint64_t> Recent; // Oldest block first.
     auto Prompts = *rc::gen::container<std::vector<std::vector<std::uint64_t>>>(
         rc::gen::container<std::vector<std::uint64_t>>(
             rc::gen::inRange<std::uint64_t>(0, 20)));
     for (auto &Prompt : Prompts) {
-      // A prompt has no block twice: its hash covers all before it.
+      // A prompt never contains a block twice, because the hash covers all text
+      // before it.
       std::ranges::sort(Prompt);
       Prompt.erase(std::unique(Prompt.begin(), Prompt.end()), Prompt.end());
       Index.insert(Prompt);
       for (auto Block = Prompt.rbegin(); Block != Prompt.rend(); ++Block) {
-        std::erase(Plain, *Block);
-        Plain.push_back(*Block);
+        std::erase(Recent, *Block);
+        Recent.push_back(*Block);
       }
-      while (Plain.size() > MaxBlocks)
-        Plain.erase(Plain.begin());
+      while (Recent.size() > MaxBlocks)
+        Recent.erase(Recent.begin());
       std::size_t Cached = 0;
       while (Cached < Prompt.size() &&
-             std::ranges::count(Plain, Prompt[Cached]))
+             std::ranges::count(Recent, Prompt[Cached]))
         ++Cached;
       RC_ASSERT(Index.cachedBlocks(Prompt) == Cached);
-      RC_ASSERT(Index.size() == Plain.size());
+      RC_ASSERT(Index.size() == Recent.size());
     }
   });
   CHECK(Holds);
@@ -45,7 +46,7 @@
   REQUIRE(Left.size() == 4);
   CHECK(std::equal(Left.begin(), Left.begin() + 3, Right.begin()));
   CHECK(Left[3] != Right[3]);
-  CHECK(Left[0] != Left[1]); // Equal blocks at other places differ.
+  CHECK(Left[0] != Left[1]); // Equal blocks at different positions differ.
   CHECK(prefixHashes(std::string(255, 'a')).empty());
 }
 
@@ -63,5 +64,6 @@
   CHECK(Index.maxBlocks() == 225);
   Index.clear();
   Index.nothingEvicted();
-  CHECK(Index.maxBlocks() == 225); // Not full: nothing to learn.
+  // The limit stays while the index is not full.
+  CHECK(Index.maxBlocks() == 225);
 }
--- a/UnitTests/Process/Scheduling/SchedulerAdmissionTest.cpp
+++ b/UnitTests/Process/Scheduling/SchedulerAdmissionTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Admission by objectives, with loads replayed through the scheduler alone.
+/// Tests of admission by objectives. Loads are replayed through the scheduler
+/// alone.
 
 #include "Process/Scheduling/Scheduler.h"
 
@@ -26,16 +27,16 @@
   return Options;
 }
 
-/// A kind of request, as a load sends it.
+/// A kind of request in a replayed load.
 struct Kind {
   std::uint32_t Tier_;
-  milliseconds Every_;   ///< One comes in each such span.
-  milliseconds Service_; ///< How long it holds its place.
+  milliseconds Interval_; ///< Time between two requests.
+  milliseconds Service_;  ///< Time for which it occupies a slot.
   milliseconds Objective_{500};
   milliseconds MaxWait_{2000};
-  int Asks_ = 1; ///< How often each caller asks at once, refused or not.
-  /// How long a caller stays that comes back once when it is refused; 0: it
-  /// doesn't come back.
+  int Attempts_ = 1; ///< Requests that each caller sends at once.
+  /// How long a caller waits that retries once when it is refused; 0 means that
+  /// it does not retry.
   milliseconds Patience_{0};
 };
 
@@ -44,19 +45,18 @@
   int InTime_ = 0;
   int Late_ = 0;
   int Refused_ = 0;
-  milliseconds LongestHeld_{0}; ///< Of those that were refused.
+  milliseconds LongestWait_{0}; ///< Of the refused requests.
 };
 
-/// Plays kinds of requests against a scheduler in steps of a millisecond.
+/// Replays kinds of requests against a scheduler in steps of a millisecond.
 class Replay {
 public:
-  Replay(Scheduler::Options Options, std::uint32_t Engines,
-         std::uint32_t Places)
+  Replay(Scheduler::Options Options, std::uint32_t Engines, std::uint32_t Slots)
       : Scheduler_(Options) {
     std::vector<ServerCapacity> Servers;
     for (std::uint32_t Index = 0; Index < Engines; ++Index)
       Servers.push_back(
-          {ServerName(fmt::format("engine-{}", Index)), Places, true});
+          {ServerName(fmt::format("engine-{}", Index)), Slots, true});
     Scheduler_.configure(std::move(Servers), {}, Options.TierCount_, 10000);
   }
 
@@ -64,89 +64,90 @@
     auto End = Now_ + Length;
     for (; Now_ < End; Now_ += milliseconds(1)) {
       endDue();
-      comeBack();
+      sendRetries();
       for (const Kind &Each : Kinds)
-        if ((Now_ - Start) % Each.Every_ == milliseconds(0))
-          ask(Each);
-      take(Scheduler_.decide(Now_));
+        if ((Now_ - Start) % Each.Interval_ == milliseconds(0))
+          submit(Each);
+      apply(Scheduler_.decide(Now_));
     }
   }
-  /// Forgets what was served until now.
-  void beginCount() { Served_.clear(); }
+  /// Resets the counts.
+  void resetCounts() { Served_.clear(); }
   const Served &served(std::uint32_t Tier) { return Served_[Tier]; }
-  /// When callers that were refused were told to come back.
-  const std::vector<TimePoint> &returns() const { return Returns_; }
+  /// The times at which refused callers were told to retry.
+  const std::vector<TimePoint> &retryTimes() const { return RetryTimes_; }
 
 private:
   struct Sent {
     Kind Kind_;
-    TimePoint At_; ///< The caller's first attempt.
-    bool CameBack_ = false;
+    TimePoint FirstAttempt_; ///< Time of the caller's first attempt.
+    bool Retried_ = false;
   };
 
-  void ask(const Kind &Each) {
-    for (int Number = 0; Number < Each.Asks_; ++Number)
-      askOnce(Each, Number > 0);
+  void submit(const Kind &Each) {
+    for (int Number = 0; Number < Each.Attempts_; ++Number)
+      submitOnce(Each, Number > 0);
   }
-  void askOnce(const Kind &Each, bool AskedBefore) {
-    AskedRequest Asked;
-    Asked.Id_ = {1, ++Sequence_};
-    Asked.AskedBefore_ = AskedBefore;
-    Asked.Tier_ = TierIndex(Each.Tier_);
-    Asked.Customer_ = CustomerName("c");
-    Asked.Deadline_ = Now_ + milliseconds(15000);
-    Asked.Objective_ = Now_ + Each.Objective_;
-    Asked.MaxWait_ = Each.MaxWait_;
-    Sent_[Asked.Id_] = {Each, Now_};
+  void submitOnce(const Kind &Each, bool AskedBefore) {
+    AskedRequest Request;
+    Request.Id_ = {1, ++Sequence_};
+    Request.AskedBefore_ = AskedBefore;
+    Request.Tier_ = TierIndex(Each.Tier_);
+    Request.Customer_ = CustomerName("c");
+    Request.Deadline_ = Now_ + milliseconds(15000);
+    Request.Objective_ = Now_ + Each.Objective_;
+    Request.MaxWait_ = Each.MaxWait_;
+    Sent_[Request.Id_] = {Each, Now_};
     ++Served_[Each.Tier_].Asked_;
-    take(Scheduler_.ask(std::move(Asked), Now_));
+    apply(Scheduler_.ask(std::move(Request), Now_));
   }
-  /// Those that were refused ask once more, late by now.
-  void comeBack() {
-    while (!Due_.empty() && Due_.begin()->first <= Now_) {
-      Sent Back = Due_.begin()->second;
-      Due_.erase(Due_.begin());
-      Back.CameBack_ = true;
-      AskedRequest Asked;
-      Asked.Id_ = {1, ++Sequence_};
-      Asked.AskedBefore_ = true;
-      Asked.Tier_ = TierIndex(Back.Kind_.Tier_);
-      Asked.Customer_ = CustomerName("c");
-      Asked.Deadline_ = Back.At_ + Back.Kind_.Patience_;
-      Asked.Objective_ = Now_;
-      Asked.MaxWait_ = milliseconds(1800);
-      Sent_[Asked.Id_] = Back;
-      take(Scheduler_.ask(std::move(Asked), Now_));
+  /// Sends the retries that are due, which have missed their objective by now.
+  void sendRetries() {
+    while (!Retries_.empty() && Retries_.begin()->first <= Now_) {
+      Sent Retry = Retries_.begin()->second;
+      Retries_.erase(Retries_.begin());
+      Retry.Retried_ = true;
+      AskedRequest Request;
+      Request.Id_ = {1, ++Sequence_};
+      Request.AskedBefore_ = true;
+      Request.Tier_ = TierIndex(Retry.Kind_.Tier_);
+      Request.Customer_ = CustomerName("c");
+      Request.Deadline_ = Retry.FirstAttempt_ + Retry.Kind_.Patience_;
+      Request.Objective_ = Now_;
+      Request.MaxWait_ = milliseconds(1800);
+      Sent_[Request.Id_] = Retry;
+      apply(Scheduler_.ask(std::move(Request), Now_));
     }
   }
 
-  void take(const std::vector<Decision> &Decisions) {
-    for (const Decision &Taken : Decisions) {
-      if (const auto *Grant = std::get_if<GrantDecision>(&Taken))
+  void apply(const std::vector<Decision> &Decisions) {
+    for (const Decision &Each : Decisions) {
+      if (const auto *Grant = std::get_if<GrantDecision>(&Each))
         granted(Grant->Id_);
-      else if (const auto *Refusal = std::get_if<RefuseDecision>(&Taken))
+      else if (const auto *Refusal = std::get_if<RefuseDecision>(&Each))
         refused(*Refusal);
     }
   }
   void granted(const RequestId &Id) {
-    const Sent &Asked = Sent_.at(Id);
-    Served &Count = Served_[Asked.Kind_.Tier_];
-    bool InTime = Now_ - Asked.At_ <= Asked.Kind_.Objective_;
+    const Sent &Request = Sent_.at(Id);
+    Served &Count = Served_[Request.Kind_.Tier_];
+    bool InTime = Now_ - Request.FirstAttempt_ <= Request.Kind_.Objective_;
     ++(InTime ? Count.InTime_ : Count.Late_);
-    Ends_.emplace(Now_ + Asked.Kind_.Service_, Id);
+    Ends_.emplace(Now_ + Request.Kind_.Service_, Id);
   }
   void refused(const RefuseDecision &Refusal) {
-    const Sent &Asked = Sent_.at(Refusal.Id_);
+    const Sent &Request = Sent_.at(Refusal.Id_);
     if (Refusal.Code_ == ResultCode::WaitTooLong)
-      Returns_.push_back(Now_ + Refusal.RetryAfter_);
-    if (Asked.Kind_.Patience_.count() > 0 && !Asked.CameBack_) {
-      Due_.emplace(Now_ + Refusal.RetryAfter_, Asked);
+      RetryTimes_.push_back(Now_ + Refusal.RetryAfter_);
+    if (Request.Kind_.Patience_.count() > 0 && !Request.Retried_) {
+      Retries_.emplace(Now_ + Refusal.RetryAfter_, Request);
       return;
     }
-    Served &Count = Served_[Asked.Kind_.Tier_];
+    Served &Count = Served_[Request.Kind_.Tier_];
     ++Count.Refused_;
-    auto Held = std::chrono::duration_cast<milliseconds>(Now_ - Asked.At_);
-    Count.LongestHeld_ = std::max(Count.LongestHeld_, Held);
+    auto Waited =
+        std::chrono::duration_cast<milliseconds>(Now_ - Request.FirstAttempt_);
+    Count.LongestWait_ = std::max(Count.LongestWait_, Waited);
   }
   void endDue() {
     while (!Ends_.empty() && Ends_.begin()->first <= Now_) {
@@ -164,185 +165,199 @@
   std::map<RequestId, Sent> Sent_;
   std::multimap<TimePoint, RequestId> Ends_;
   std::map<std::uint32_t, Served> Served_;
-  std::vector<TimePoint> Returns_;
-  std::multimap<TimePoint, Sent> Due_;
+  std::vector<TimePoint> RetryTimes_;
+  std::multimap<TimePoint, Sent> Retries_;
 };
 
-/// Short dear requests, and long cheap ones that alone need all places.
-const Kind Dear{0, milliseconds(20), milliseconds(250)};
-const Kind Cheap{1, milliseconds(20), milliseconds(1400)};
+/// Short requests of the high tier, and long ones of the low tier that alone
+/// would need all slots.
+const Kind HighTier{0, milliseconds(20), milliseconds(250)};
+const Kind LowTier{1, milliseconds(20), milliseconds(1400)};
 
 } // namespace
 
-TEST_CASE("a burst of long cheap streams keeps no dear request waiting") {
-  // Load: 50 a second of each kind on 60 places; the cheap ones alone want 70.
+TEST_CASE("a burst of long low-tier streams delays no high-tier request") {
+  // 50 requests a second of each kind arrive for 60 slots; those of the low
+  // tier alone would need 70.
   Replay Load(byObjective(), 10, 6);
-  Load.run(milliseconds(10000), {Dear, Cheap});
-  const Served &Dearest = Load.served(0);
-  CHECK(Dearest.InTime_ == Dearest.Asked_);
+  Load.run(milliseconds(10000), {HighTier, LowTier});
+  const Served &HighTierCount = Load.served(0);
+  CHECK(HighTierCount.InTime_ == HighTierCount.Asked_);
 }
 
-TEST_CASE("under that burst cheap ones are served in time or refused at once, "
-          "not all of them late") {
+TEST_CASE(
+    "in a burst, low-tier requests meet their objective or are refused at "
+    "once, instead of all missing it") {
   Replay Load(byObjective(), 10, 6);
-  Load.run(milliseconds(10000), {Dear, Cheap});
-  const Served &Cheapest = Load.served(1);
-  // 60 places less the 12.5 that dear ones hold serve 34 a second of 50.
-  CHECK(Cheapest.InTime_ + Cheapest.Late_ > 300);
-  CHECK(Cheapest.InTime_ > 2 * Cheapest.Late_);
+  Load.run(milliseconds(10000), {HighTier, LowTier});
+  const Served &LowTierCount = Load.served(1);
+  // 60 slots, less the 12.5 that high-tier requests occupy, serve 34 of the 50
+  // requests a second.
+  CHECK(LowTierCount.InTime_ + LowTierCount.Late_ > 300);
+  CHECK(LowTierCount.InTime_ > 2 * LowTierCount.Late_);
 }
 
-TEST_CASE("a tier that higher ones crowd out keeps its guaranteed part") {
-  // Load: dear requests alone want twice what there is.
+TEST_CASE("a tier that is starved by higher ones keeps its guaranteed share") {
+  // High-tier requests alone would need twice the capacity.
   const Kind Flood{0, milliseconds(5), milliseconds(600)};
   Replay Load(byObjective(), 10, 6);
-  Load.run(milliseconds(10000), {Flood, Cheap});
-  const Served &Dearest = Load.served(0);
-  const Served &Cheapest = Load.served(1);
-  double All =
-      Dearest.InTime_ + Dearest.Late_ + Cheapest.InTime_ + Cheapest.Late_;
-  double PartOfAll = All / (Dearest.Asked_ + Cheapest.Asked_);
-  double PartOfCheapest =
-      static_cast<double>(Cheapest.InTime_ + Cheapest.Late_) / Cheapest.Asked_;
-  // Half as often as all are served, by the options.
-  CHECK(PartOfCheapest > 0.48 * PartOfAll);
-  CHECK(PartOfAll > 0.33);
+  Load.run(milliseconds(10000), {Flood, LowTier});
+  const Served &HighTierCount = Load.served(0);
+  const Served &LowTierCount = Load.served(1);
+  double All = HighTierCount.InTime_ + HighTierCount.Late_ +
+               LowTierCount.InTime_ + LowTierCount.Late_;
+  double FractionOfAll = All / (HighTierCount.Asked_ + LowTierCount.Asked_);
+  double FractionOfLowTier =
+      static_cast<double>(LowTierCount.InTime_ + LowTierCount.Late_) /
+      LowTierCount.Asked_;
+  // The options guarantee half of the rate at which all requests are served.
+  CHECK(FractionOfLowTier > 0.48 * FractionOfAll);
+  CHECK(FractionOfAll > 0.33);
 }
 
-TEST_CASE("strict order, without a guaranteed part, starves it") {
-  // The same load without the mechanism: what the case before prevents.
+TEST_CASE("strict order without a guaranteed share starves the lowest tier") {
+  // The same load without the mechanism shows what the previous test guards
+  // against.
   const Kind Flood{0, milliseconds(5), milliseconds(600)};
   auto Options = byObjective();
   Options.GuaranteedShare_ = 0;
   Replay Load(Options, 10, 6);
-  Load.run(milliseconds(10000), {Flood, Cheap});
-  const Served &Cheapest = Load.served(1);
-  CHECK(Cheapest.InTime_ + Cheapest.Late_ < Cheapest.Asked_ / 5);
+  Load.run(milliseconds(10000), {Flood, LowTier});
+  const Served &LowTierCount = Load.served(1);
+  CHECK(LowTierCount.InTime_ + LowTierCount.Late_ < LowTierCount.Asked_ / 5);
 }
 
-TEST_CASE("nobody is held for longer than it may wait") {
+TEST_CASE("no request waits longer than its maximum wait") {
   Replay Load(byObjective(), 2, 6);
-  Load.run(milliseconds(10000), {Cheap});
+  Load.run(milliseconds(10000), {LowTier});
   CHECK(Load.served(1).Refused_ > 0);
-  CHECK(Load.served(1).LongestHeld_ <= Cheap.MaxWait_ + milliseconds(1));
+  CHECK(Load.served(1).LongestWait_ <= LowTier.MaxWait_ + milliseconds(1));
 }
 
-TEST_CASE("callers that ask often do not raise their tier's guaranteed part") {
-  // Symptom: in a burst the middle tier gets 33 places in two seconds, the
-  // lowest one 398.
-  // Sequence: the lowest tier's callers are refused, ask another cell and come
-  // back; each ask counts as an arrival, so the tier seems to starve.
-  // Cause: its guaranteed part was taken of asks rather than of callers.
+TEST_CASE(
+    "callers that retry often do not raise their tier's guaranteed share") {
+  // Guards against a guaranteed share that is computed from attempts instead of
+  // callers. Refused callers of the lowest tier try another cell and retry; if
+  // each attempt counted as an arrival, the tier would seem to starve and would
+  // take the slots of the tiers above it: 398 slots in two seconds against 33
+  // for the middle tier.
   const Kind Flood{0, milliseconds(5), milliseconds(600)};
-  Kind Insistent = Cheap;
-  Insistent.Asks_ = 4;
+  Kind Retrying = LowTier;
+  Retrying.Attempts_ = 4;
   auto Options = byObjective();
   Options.GuaranteedShare_ = 0.15;
-  Replay Calm(Options, 10, 6);
-  Calm.run(milliseconds(10000), {Flood, Cheap});
+  Replay LowLoad(Options, 10, 6);
+  LowLoad.run(milliseconds(10000), {Flood, LowTier});
   Replay Load(Options, 10, 6);
-  Load.run(milliseconds(10000), {Flood, Insistent});
-  const Served &Usual = Calm.served(1);
-  const Served &Often = Load.served(1);
-  CHECK(Often.InTime_ + Often.Late_ < (Usual.InTime_ + Usual.Late_) * 5 / 4);
+  Load.run(milliseconds(10000), {Flood, Retrying});
+  const Served &Normal = LowLoad.served(1);
+  const Served &Repeated = Load.served(1);
+  CHECK(Repeated.InTime_ + Repeated.Late_ <
+        (Normal.InTime_ + Normal.Late_) * 5 / 4);
 }
 
-TEST_CASE("a short burst of the highest tier is not held up by the guaranteed "
-          "part of a lower one") {
-  // Load: a calm minute, then three seconds in which the highest tier alone
-  // wants twice what there is. The lowest was served nearly all until then, so
-  // it does not starve, and its long requests would cost the highest dearly.
-  const Kind Calm{0, milliseconds(50), milliseconds(600)};
+TEST_CASE("a short burst of the highest tier is not delayed by the guaranteed "
+          "share of a lower one") {
+  // After a period of low load, the highest tier alone needs twice the capacity
+  // for three seconds. Nearly all requests of the lowest tier were served until
+  // then, so it does not starve; serving its long requests now would delay the
+  // highest tier considerably.
+  const Kind LowLoad{0, milliseconds(50), milliseconds(600)};
   const Kind Burst{0, milliseconds(5), milliseconds(600)};
   Replay Load(byObjective(), 10, 6);
-  Load.run(milliseconds(30000), {Calm, Cheap});
-  Load.beginCount();
-  Load.run(milliseconds(3000), {Burst, Cheap});
-  // 60 places of 600 ms serve 100 a second.
+  Load.run(milliseconds(30000), {LowLoad, LowTier});
+  Load.resetCounts();
+  Load.run(milliseconds(3000), {Burst, LowTier});
+  // 60 slots of 600 ms serve 100 requests a second.
   CHECK(Load.served(0).InTime_ + Load.served(0).Late_ > 240);
 }
 
-TEST_CASE("in time goes before late, whoever asks") {
-  // Symptom: requests of customers that were served little are answered late,
-  // and those of others that could be in time wait meanwhile.
-  // Cause: lateness was compared within a customer only.
+TEST_CASE(
+    "requests that can meet their objective are granted before those that "
+    "missed it, across customers") {
+  // Guards against comparing missed objectives only within a customer. Requests
+  // of a customer that was served little would then be granted after their
+  // objective, while requests of other customers that could still meet theirs
+  // wait.
   auto Options = byObjective();
-  Scheduler Deciding(Options);
-  Deciding.configure({{ServerName("engine"), 1, true}}, {}, 2, 100);
-  auto Ask = [&](std::uint64_t Number, const char *Customer,
-                 TimePoint Objective) {
-    AskedRequest Asked;
-    Asked.Id_ = {1, Number};
-    Asked.Customer_ = CustomerName(Customer);
-    Asked.Deadline_ = Start + milliseconds(5000);
-    Asked.Objective_ = Objective;
-    Asked.MaxWait_ = milliseconds(2000);
-    Deciding.ask(Asked, Start);
+  Scheduler Target(Options);
+  Target.configure({{ServerName("engine"), 1, true}}, {}, 2, 100);
+  auto Submit = [&](std::uint64_t Number, const char *Customer,
+                    TimePoint Objective) {
+    AskedRequest Request;
+    Request.Id_ = {1, Number};
+    Request.Customer_ = CustomerName(Customer);
+    Request.Deadline_ = Start + milliseconds(5000);
+    Request.Objective_ = Objective;
+    Request.MaxWait_ = milliseconds(2000);
+    Target.ask(Request, Start);
   };
-  Ask(1, "a", Start);
-  Ask(2, "b", Start + milliseconds(500));
-  auto Decisions = Deciding.decide(Start);
+  Submit(1, "a", Start);
+  Submit(2, "b", Start + milliseconds(500));
+  auto Decisions = Target.decide(Start);
   REQUIRE(Decisions.size() == 1);
   CHECK(std::get<GrantDecision>(Decisions.front()).Id_ == RequestId{1, 2});
 }
 
-TEST_CASE("callers that are refused together are told moments of their own") {
-  // Symptom: after a burst its callers come back at once and are refused again.
-  // Load: twice the capacity for four seconds; half of it is refused.
+TEST_CASE("callers that are refused together get different retry times") {
+  // Guards against callers of a burst that all retry at once and are refused
+  // again. The load is twice the capacity for four seconds, so half of it is
+  // refused.
   Replay Load(byObjective(), 2, 6);
   const Kind Short{0, milliseconds(2), milliseconds(50), milliseconds(100),
                    milliseconds(100)};
   Load.run(milliseconds(4000), {Short});
-  const auto &Returns = Load.returns();
-  REQUIRE(Returns.size() > 500);
-  // 240 places a second get free, and as many callers come; half of the
-  // places are kept for those that come back: 12 in 100 ms.
-  std::map<std::int64_t, int> BySlot;
-  for (TimePoint Moment : Returns)
-    ++BySlot[(Moment - Start) / milliseconds(100)];
+  const auto &RetryTimes = Load.retryTimes();
+  REQUIRE(RetryTimes.size() > 500);
+  // 240 slots become free each second, and as many callers are refused. Half of
+  // the slots are reserved for callers that retry: 12 in 100 ms.
+  std::map<std::int64_t, int> ByInterval;
+  for (TimePoint RetryTime : RetryTimes)
+    ++ByInterval[(RetryTime - Start) / milliseconds(100)];
   CHECK(std::ranges::all_of(
-      BySlot, [](const auto &Slot) { return Slot.second <= 16; }));
+      ByInterval, [](const auto &Interval) { return Interval.second <= 16; }));
 }
 
-TEST_CASE("an engine in whose place another one answers gets nothing more") {
-  // Symptom: one request in nine is refused by a server that it was not meant
-  // for, and uses up its tries, long after an engine crashed.
-  // Sequence: an engine crashes and starts again at its address under another
-  // name; its old entry stays in the directory until its heartbeats are missed.
-  // Cause: the refusal proves that the old one is gone, and was not used.
-  Scheduler Deciding(byObjective());
-  Deciding.configure({{ServerName("crashed"), 4, true}}, {}, 2, 100);
-  AskedRequest Asked;
-  Asked.Id_ = {1, 1};
-  Asked.Customer_ = CustomerName("c");
-  Asked.Deadline_ = Start + milliseconds(1000);
-  Deciding.ask(Asked, Start);
-  REQUIRE(Deciding.decide(Start).size() == 1);
+TEST_CASE(
+    "an engine at whose address another one answers gets no more requests") {
+  // An engine that crashes may restart at its address under another name, while
+  // its old directory entry remains until its heartbeats are missed. The
+  // refusal by the new engine proves that the old one is gone. Guards against
+  // ignoring it: one request in nine was sent to the wrong server long after
+  // the crash and used up its attempts.
+  Scheduler Target(byObjective());
+  Target.configure({{ServerName("crashed"), 4, true}}, {}, 2, 100);
+  AskedRequest Request;
+  Request.Id_ = {1, 1};
+  Request.Customer_ = CustomerName("c");
+  Request.Deadline_ = Start + milliseconds(1000);
+  Target.ask(Request, Start);
+  REQUIRE(Target.decide(Start).size() == 1);
   ServedSample Seen;
   Seen.Reached_ = true;
   Seen.Replaced_ = true;
-  Deciding.done(Asked.Id_, Seen, Start);
-  Asked.Id_ = {1, 2};
-  auto Decisions = Deciding.ask(Asked, Start);
+  Target.done(Request.Id_, Seen, Start);
+  Request.Id_ = {1, 2};
+  auto Decisions = Target.ask(Request, Start);
   REQUIRE(Decisions.size() == 1);
   CHECK(std::get<RefuseDecision>(Decisions.front()).Code_ ==
         ResultCode::NoBackendServer);
 }
 
 TEST_CASE("an engine that fails what it gets loses its work to the others") {
-  Scheduler Deciding(byObjective());
-  Deciding.configure(
+  Scheduler Target(byObjective());
+  Target.configure(
       {{ServerName("good"), 4, true}, {ServerName("bad"), 4, true}}, {}, 2,
       100);
   int ToBad = 0;
   for (std::uint64_t Number = 1; Number <= 200; ++Number) {
     auto Now = Start + milliseconds(10 * Number);
-    AskedRequest Asked;
-    Asked.Id_ = {1, Number};
-    Asked.Customer_ = CustomerName("c");
-    Asked.Deadline_ = Now + milliseconds(1000);
-    Deciding.ask(Asked, Now);
-    auto Decisions = Deciding.decide(Now);
+    AskedRequest Request;
+    Request.Id_ = {1, Number};
+    Request.Customer_ = CustomerName("c");
+    Request.Deadline_ = Now + milliseconds(1000);
+    Target.ask(Request, Now);
+    auto Decisions = Target.decide(Now);
     REQUIRE(Decisions.size() == 1);
     const auto &Grant = std::get<GrantDecision>(Decisions.front());
     bool Bad = Grant.Server_ == ServerName("bad");
@@ -351,53 +366,54 @@
     Seen.Reached_ = true;
     Seen.Complete_ = !Bad;
     Seen.Faulty_ = Bad;
-    Deciding.done(Asked.Id_, Seen, Now);
+    Target.done(Request.Id_, Seen, Now);
   }
   CHECK(ToBad < 20);
 }
 
-TEST_CASE("callers that come back too late turn nobody away who is in time") {
-  // Symptom: in a burst no first attempt is served in time, and the engines
-  // work for callers who are late already, until long after the burst.
-  // Sequence: half of a burst is refused and told to come back; it waits for as
-  // long as it may; what asks for the first time is refused, since so much
-  // waits, and comes back late in its turn.
-  // Cause: a first attempt's wait was predicted from all that waits, though
-  // what is late goes after it.
-  // Load: 60 places, each held for 250 ms: 240 a second. Three seconds of 200
-  // a second, four of 500, then 200 again.
-  const Kind Calm{0,
-                  milliseconds(5),
-                  milliseconds(250),
-                  milliseconds(400),
-                  milliseconds(400),
-                  1,
-                  milliseconds(4000)};
-  Kind Burst = Calm;
-  Burst.Every_ = milliseconds(2);
+TEST_CASE("callers that retry too late cause no refusal of callers that are in "
+          "time") {
+  // Guards against counting requests that have missed their objective in the
+  // predicted wait of first attempts, although they are served after them. Half
+  // of a burst is refused and retries, and its retries wait for as long as they
+  // may. First attempts would then be refused because so much waits, and retry
+  // too late themselves: engines would serve only callers that have missed
+  // their objective, until long after the burst.
+  //
+  // 60 slots, each occupied for 250 ms, serve 240 requests a second. The load
+  // is 200 a second for three seconds, 500 for four, then 200 again.
+  const Kind LowLoad{0,
+                     milliseconds(5),
+                     milliseconds(250),
+                     milliseconds(400),
+                     milliseconds(400),
+                     1,
+                     milliseconds(4000)};
+  Kind Burst = LowLoad;
+  Burst.Interval_ = milliseconds(2);
   Replay Load(byObjective(), 10, 6);
-  Load.run(milliseconds(3000), {Calm});
-  Load.beginCount();
+  Load.run(milliseconds(3000), {LowLoad});
+  Load.resetCounts();
   Load.run(milliseconds(4000), {Burst});
-  constexpr int MostInBurst = 4 * 240;
-  CHECK(Load.served(0).InTime_ >= 0.9 * MostInBurst);
-  Load.run(milliseconds(2000), {Calm});
-  Load.beginCount();
-  Load.run(milliseconds(4000), {Calm});
+  constexpr int MaxInBurst = 4 * 240;
+  CHECK(Load.served(0).InTime_ >= 0.9 * MaxInBurst);
+  Load.run(milliseconds(2000), {LowLoad});
+  Load.resetCounts();
+  Load.run(milliseconds(4000), {LowLoad});
   CHECK(Load.served(0).InTime_ >= 0.9 * Load.served(0).Asked_);
 }
 
-TEST_CASE("a moment to come back is one that the caller has time for") {
-  // Symptom: callers are told to come back after five minutes.
-  // Sequence: in a burst refusals come faster than places for a long time.
-  // Cause: each refusal put the next moment further off, without bound.
+TEST_CASE("a retry time is one that the caller can wait for") {
+  // Guards against retry times that grow without bound, up to five minutes,
+  // while refusals arrive faster than slots become free for a long time.
   Replay Load(byObjective(), 2, 6);
   const Kind Flood{0, milliseconds(1), milliseconds(250), milliseconds(100),
                    milliseconds(100)};
   Load.run(milliseconds(10000), {Flood});
-  REQUIRE(Load.returns().size() > 1000);
-  // The callers stay for 15 s: a third of it.
+  REQUIRE(Load.retryTimes().size() > 1000);
+  // The callers wait for 15 s; the limit is a third of that.
   TimePoint Latest = Start + milliseconds(10000) + milliseconds(5000);
-  CHECK(std::ranges::all_of(
-      Load.returns(), [&](TimePoint Moment) { return Moment <= Latest; }));
+  CHECK(std::ranges::all_of(Load.retryTimes(), [&](TimePoint RetryTime) {
+    return RetryTime <= Latest;
+  }));
 }
--- a/UnitTests/Process/Scheduling/SchedulerTest.cpp
+++ b/UnitTests/Process/Scheduling/SchedulerTest.cpp
@@ -14,19 +14,19 @@
 
 constexpr std::uint32_t TierCount = 3;
 
-std::string describeDecision(const Decision &Taken) {
-  if (const auto *Grant = std::get_if<GrantDecision>(&Taken))
+std::string describeDecision(const Decision &Each) {
+  if (const auto *Grant = std::get_if<GrantDecision>(&Each))
     return fmt::format("grant {} {}", Grant->Id_.str(), Grant->Server_.str());
-  if (const auto *Refusal = std::get_if<RefuseDecision>(&Taken))
+  if (const auto *Refusal = std::get_if<RefuseDecision>(&Each))
     return fmt::format("refuse {} {}", Refusal->Id_.str(),
                        static_cast<int>(Refusal->Code_));
-  return fmt::format("cancel {}", std::get<CancelDecision>(Taken).Id_.str());
+  return fmt::format("cancel {}", std::get<CancelDecision>(Each).Id_.str());
 }
 
 std::vector<std::string> describeAll(const std::vector<Decision> &Decisions) {
   std::vector<std::string> Lines;
-  for (const Decision &Taken : Decisions)
-    Lines.push_back(describeDecision(Taken));
+  for (const Decision &Each : Decisions)
+    Lines.push_back(describeDecision(Each));
   return Lines;
 }
 
@@ -45,15 +45,15 @@
 
 AskedRequest request(std::uint64_t Number, std::uint32_t Tier,
                      TimePoint Deadline) {
-  AskedRequest Asked;
-  Asked.Id_ = {1, Number};
-  Asked.Tier_ = TierIndex(Tier);
-  Asked.Customer_ = CustomerName("a");
-  Asked.Deadline_ = Deadline;
-  Asked.Prompt_ = Tokens(10);
-  Asked.Answer_ = Tokens(10);
-  Asked.Entry_ = VmId("vm");
-  return Asked;
+  AskedRequest Request;
+  Request.Id_ = {1, Number};
+  Request.Tier_ = TierIndex(Tier);
+  Request.Customer_ = CustomerName("a");
+  Request.Deadline_ = Deadline;
+  Request.Prompt_ = Tokens(10);
+  Request.Answer_ = Tokens(10);
+  Request.Entry_ = VmId("vm");
+  return Request;
 }
 
 Scheduler configured(Scheduler::Options Options, std::uint32_t Count,
@@ -64,13 +64,13 @@
   return Built;
 }
 
-/// No higher tier shed while a lower is served: what a step leaves behind
-/// after it shed a request for lack of capacity.
+/// Checks that after a step that shed a request for lack of capacity, no lower
+/// tier is still served.
 void checkTierOrder(const std::vector<Decision> &Decisions,
                     const std::map<RequestId, TierIndex> &TierOf,
                     const NaiveScheduler &After) {
-  for (const Decision &Taken : Decisions) {
-    const auto *Refusal = std::get_if<RefuseDecision>(&Taken);
+  for (const Decision &Each : Decisions) {
+    const auto *Refusal = std::get_if<RefuseDecision>(&Each);
     bool Shed = Refusal && (Refusal->Code_ == ResultCode::DeadlineInQueue ||
                             Refusal->Code_ == ResultCode::QueueFull);
     if (!Shed)
@@ -107,20 +107,20 @@
       };
       int Kind = *rc::gen::inRange(0, 10);
       if (Kind < 5 || Ids.empty()) {
-        AskedRequest Asked =
+        AskedRequest Request =
             request(Next++, *rc::gen::inRange<std::uint32_t>(0, TierCount),
                     Now + milliseconds(*rc::gen::inRange(-5, 2000)));
-        Asked.Customer_ =
+        Request.Customer_ =
             CustomerName(std::string(1, *rc::gen::element('a', 'b', 'c')));
-        Asked.Prompt_ = Tokens(*rc::gen::inRange(0, 1000));
-        Asked.NonIdempotent_ = *rc::gen::inRange(0, 4) == 0;
-        Asked.Entry_ = VmId(*rc::gen::element<std::string>("x", "y"));
+        Request.Prompt_ = Tokens(*rc::gen::inRange(0, 1000));
+        Request.NonIdempotent_ = *rc::gen::inRange(0, 4) == 0;
+        Request.Entry_ = VmId(*rc::gen::element<std::string>("x", "y"));
         if (*rc::gen::inRange(0, 5) == 0)
-          Asked.Excluded_.emplace_back("engine-0");
-        TierOf[Asked.Id_] = Asked.Tier_;
-        Ids.push_back(Asked.Id_);
-        FromReal = Real.ask(Asked, Now);
-        FromNaive = Naive.ask(Asked, Now);
+          Request.Excluded_.emplace_back("engine-0");
+        TierOf[Request.Id_] = Request.Tier_;
+        Ids.push_back(Request.Id_);
+        FromReal = Real.ask(Request, Now);
+        FromNaive = Naive.ask(Request, Now);
       } else if (Kind < 7) {
         RequestId Id = Pick();
         Real.done(Id, ServedSample(), Now);
@@ -177,15 +177,15 @@
   TimePoint Now{std::chrono::seconds(1000)};
   std::map<RequestId, std::string> CustomerOf;
   for (std::uint64_t Number = 1; Number <= 400; ++Number) {
-    AskedRequest Asked = request(Number, 0, Now + std::chrono::hours(1));
-    Asked.Customer_ = CustomerName(Number % 2 ? "a" : "b");
-    CustomerOf[Asked.Id_] = Asked.Customer_.str();
-    Real.ask(Asked, Now);
+    AskedRequest Request = request(Number, 0, Now + std::chrono::hours(1));
+    Request.Customer_ = CustomerName(Number % 2 ? "a" : "b");
+    CustomerOf[Request.Id_] = Request.Customer_.str();
+    Real.ask(Request, Now);
   }
   std::map<std::string, int> Granted;
   for (int Round = 0; Round < 200; ++Round)
-    for (const Decision &Taken : Real.decide(Now)) {
-      const auto &Grant = std::get<GrantDecision>(Taken);
+    for (const Decision &Each : Real.decide(Now)) {
+      const auto &Grant = std::get<GrantDecision>(Each);
       ++Granted[CustomerOf.at(Grant.Id_)];
       Real.done(Grant.Id_, ServedSample(), Now);
     }
@@ -194,10 +194,10 @@
   CHECK(Granted["b"] == 150);
 }
 
-TEST_CASE("a new keeper grants nothing before it has heard what runs") {
-  // Symptom: after a keeper's death an engine gets twice its limit.
-  // Sequence: a new keeper gets asks before entries tell it what runs.
-  // Cause: what it does not know of looks like free room.
+TEST_CASE("a new keeper grants nothing before it has learned what runs") {
+  // A new keeper receives grant requests before ingress daemons report what
+  // runs. Guards against unknown running requests that look like free capacity:
+  // after the death of a keeper, an engine would get twice its limit.
   Scheduler Real = configured({.TierCount_ = TierCount}, 1, 1);
   TimePoint Now{std::chrono::seconds(1000)};
   Real.setWarmUntil(Now + milliseconds(300));
@@ -214,7 +214,8 @@
   CHECK(Real.decide(Now).size() == 1);
 }
 
-TEST_CASE("a keeper that speaks for half of the fleet takes half of a limit") {
+TEST_CASE(
+    "a keeper that is responsible for half of the fleet uses half of a limit") {
   Scheduler Real = configured({.TierCount_ = TierCount}, 1, 8);
   Real.setShare(0.5);
   TimePoint Now{std::chrono::seconds(1000)};
@@ -223,31 +224,32 @@
   CHECK(Real.decide(Now).size() == 4);
 }
 
-TEST_CASE("callers refused together are told different times to come back") {
-  // Symptom: an overload ends and comes back at once, again and again.
-  // Sequence: many requests are refused in one instant.
-  // Cause: all were told the same time, and came back together.
+TEST_CASE("callers refused together get different retry delays") {
+  // Many requests are refused in one instant. Guards against an overload that
+  // recurs again and again because all of these callers get the same delay and
+  // retry together.
   Scheduler Real =
       configured({.TierCount_ = TierCount, .MaxWaiting_ = 1}, 1, 1);
   TimePoint Now{std::chrono::seconds(1000)};
   std::set<milliseconds> Times;
   for (std::uint64_t Number = 1; Number <= 100; ++Number)
-    for (const Decision &Taken :
+    for (const Decision &Each :
          Real.ask(request(Number, 0, Now + milliseconds(900)), Now))
-      if (const auto *Refusal = std::get_if<RefuseDecision>(&Taken))
+      if (const auto *Refusal = std::get_if<RefuseDecision>(&Each))
         Times.insert(Refusal->RetryAfter_);
   CHECK(Times.size() > 50);
   CHECK(*Times.begin() >= milliseconds(500));
 }
 
 TEST_CASE(
-    "an engine that starts again under its name has none of what it had") {
-  // Symptom: an engine that is back after a crash gets no work, or too much.
-  // Sequence: its places are taken when it crashes; its entry tells of a new
-  // process within one heartbeat; later the entries that had requests there
-  // tell that these failed.
-  // Cause: the places of the earlier process stayed taken, and those failures
-  // freed places, and spoke against the health, of the new one.
+    "an engine that restarts under its name has no state of its old process") {
+  // The slots of an engine are occupied when it crashes. Its directory entry
+  // shows a new process within one heartbeat, and later the ingress daemons
+  // that had requests there report that these failed.
+  //
+  // Guards against slots of the earlier process that stay occupied, and against
+  // those failures freeing slots or lowering the health of the new process: the
+  // engine would get too little work, or too much.
   Scheduler Real = configured({.TierCount_ = TierCount}, 1, 2);
   TimePoint Now{std::chrono::seconds(1000)};
   auto StartedAt = [&](std::uint64_t Started) {
@@ -273,7 +275,7 @@
   CHECK(Real.decide(Now).size() == 1);
 }
 
-TEST_CASE("an engine whose name was given away is used again once it is back") {
+TEST_CASE("an engine marked as replaced is used again once it has restarted") {
   Scheduler Real = configured({.TierCount_ = TierCount}, 1, 2);
   TimePoint Now{std::chrono::seconds(1000)};
   auto List = servers(1, 2);
--- a/UnitTests/Process/Scheduling/SchedulerTiersTest.cpp
+++ b/UnitTests/Process/Scheduling/SchedulerTiersTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// A keeper whose configuration gets more tiers while requests wait.
+/// Tests of a keeper whose configuration gets more tiers while requests wait.
 
 #include "Process/Scheduling/Scheduler.h"
 
@@ -13,7 +13,7 @@
 constexpr TimePoint Start{std::chrono::seconds(1000)};
 const ServerName Engine("engine");
 
-/// Requests wait: the one engine has one place.
+/// A keeper whose single engine has a single slot, so that requests wait.
 class TieredKeeper {
 public:
   explicit TieredKeeper(std::uint32_t Tiers) : Scheduler_(options()) {
@@ -24,14 +24,14 @@
     Scheduler_.configure({{Engine, 1, true}}, {}, Tiers, 1000);
   }
   std::vector<Decision> ask(std::uint64_t Number, std::uint32_t Tier) {
-    AskedRequest Asked;
-    Asked.Id_ = {1, Number};
-    Asked.Tier_ = TierIndex(Tier);
-    Asked.Deadline_ = Start + std::chrono::seconds(10);
-    Asked.Objective_ = Start + std::chrono::seconds(5);
-    Asked.MaxWait_ = std::chrono::seconds(5);
-    Asked.Entry_ = VmId("vm");
-    return Scheduler_.ask(std::move(Asked), Start);
+    AskedRequest Request;
+    Request.Id_ = {1, Number};
+    Request.Tier_ = TierIndex(Tier);
+    Request.Deadline_ = Start + std::chrono::seconds(10);
+    Request.Objective_ = Start + std::chrono::seconds(5);
+    Request.MaxWait_ = std::chrono::seconds(5);
+    Request.Entry_ = VmId("vm");
+    return Scheduler_.ask(std::move(Request), Start);
   }
 
   Scheduler Scheduler_;
@@ -48,18 +48,18 @@
 
 } // namespace
 
-TEST_CASE("a request that waits is found where it waits, also after a "
+TEST_CASE("a waiting request is found in its queue, also after a "
           "configuration with more tiers") {
-  // Symptom: beside a change of the configuration a daemon ends by itself, or
-  // follows no change any more, with an exception of a map; or it refuses all
-  // of a tier from then on, as if the whole world waited there.
-  // Sequence: an entry has a configuration with one more priority, its keeper
-  // not yet; a request of the new, lowest tier waits in the lowest queue that
-  // the keeper has; the keeper adopts the configuration; the request is
+  // An ingress daemon has a configuration with one more tier before its keeper
+  // has. A request of the new, lowest tier then waits in the lowest queue of
+  // the keeper, until the keeper adopts the configuration and the request is
   // withdrawn.
-  // Cause: its queue is told by its tier and the number of queues of the
-  // moment: it is taken out of the new, empty one, whose count falls below
-  // zero, and its id stays in the old one, where it is looked up in vain.
+  //
+  // Guards against looking the request up by its tier and the current number of
+  // queues. It would be removed from the new, empty queue, whose count falls
+  // below zero, while its id stays in the old one. The failed lookup throws an
+  // exception that ends the daemon or its watch of changes, or the keeper
+  // refuses all requests of the tier from then on because of the huge count.
   TieredKeeper Keeper(2);
   REQUIRE(Keeper.ask(1, 0).empty());
   REQUIRE(Keeper.Scheduler_.decide(Start).size() == 1);
@@ -74,8 +74,8 @@
 
 TEST_CASE("a request is granted once, also after a configuration with more "
           "tiers") {
-  // The same sequence, but the request is granted: its place in the old queue
-  // stays, and its id with it.
+  // The same sequence, but the request is granted: its entry in the old queue
+  // must not remain.
   TieredKeeper Keeper(2);
   REQUIRE(Keeper.ask(1, 0).empty());
   REQUIRE(Keeper.Scheduler_.decide(Start).size() == 1);
--- a/UnitTests/Process/Scheduling/ServerHealthTest.cpp
+++ b/UnitTests/Process/Scheduling/ServerHealthTest.cpp
@@ -9,10 +9,11 @@
 constexpr ServerHealth::TimePoint Start{std::chrono::seconds(1000)};
 } // namespace
 
-TEST_CASE("an engine that fails far more than the others is left out, then "
+TEST_CASE("an engine that fails far more than the others is excluded, then "
           "tried") {
-  // Load: an engine answers its health check and fails 9 of 10 requests at
-  // once. It looks idle, so without this it gets more and more of them.
+  // An engine that passes its health check but fails 9 of 10 requests
+  // immediately looks idle. Without the exclusion it would get more and more
+  // requests.
   ServerHealth Health;
   int Failures = 0;
   while (!Health.leftOut(Start) && Failures < 100) {
@@ -22,14 +23,14 @@
   CHECK(Failures <= 4);
   CHECK(Health.onTrial());
   CHECK_FALSE(Health.leftOut(Start + milliseconds(1000)));
-  // The trial fails: left out for longer.
+  // The trial fails, so the engine is excluded for longer.
   Health.failed(Start + milliseconds(1000), 0.05);
   CHECK(Health.leftOut(Start + milliseconds(2900)));
   Health.succeeded();
   CHECK_FALSE(Health.onTrial());
 }
 
-TEST_CASE("requests that fail at every engine alike leave none out") {
+TEST_CASE("requests that fail at every engine alike exclude none") {
   ServerHealth Health;
   for (int Index = 0; Index < 200; ++Index) {
     Health.failed(Start, Health.failureRate());
@@ -37,7 +38,7 @@
   }
 }
 
-TEST_CASE("one lost connection is no reason, two in a row are") {
+TEST_CASE("one lost connection does not exclude an engine, two in a row do") {
   ServerHealth Health;
   Health.unreachable(Start);
   CHECK_FALSE(Health.leftOut(Start));
