--- a/Source/Process/Scheduling/Scheduler.cpp
+++ b/Source/Process/Scheduling/Scheduler.cpp
@@ -127,11 +127,11 @@
   if (auto Known = Running_.find(Request.Id_); Known != Running_.end())
     endRunning(Known);
   TierQueue &OwnTier = Tiers_[queueIndex(Request.Tier_)];
-  Standing Priority = standingOf(Request, Now);
+  Standing Rank = standingOf(Request, Now);
   if (!Request.AskedBefore_) {
     OwnTier.Share_.decay(Now);
     OwnTier.Share_.Arrived_ += 1;
-    FadingShare &OfLength = OwnTier.ShareByLength_[Priority.Length_];
+    FadingShare &OfLength = OwnTier.ShareByLength_[Rank.Length_];
     OfLength.decay(Now);
     OfLength.Arrived_ += 1;
   }
@@ -153,7 +153,7 @@
     Out.push_back(refusal(Request, ResultCode::CannotFinishInTime));
     return Out;
   }
-  if (wouldWaitTooLong(Request, Priority, Now)) {
+  if (wouldWaitTooLong(Request, Rank, Now)) {
     RefuseDecision Refusal = refusal(Request, ResultCode::WaitTooLong);
     Refusal.RetryAfter_ = returnAfter(Request, Now);
     Out.push_back(Refusal);
@@ -172,7 +172,7 @@
   if (Request.MaxWait_.count() > 0)
     Waiting.LatestStart_ =
         std::min(Waiting.LatestStart_, Now + Request.MaxWait_);
-  Waiting.Standing_ = Priority;
+  Waiting.Standing_ = Rank;
   Waiting.Asked_ = std::move(Request);
   OwnTier.RecentAdmitted_.add(Now);
   enqueue(std::move(Waiting));
--- a/Source/Process/Scheduling/Scheduler.h
+++ b/Source/Process/Scheduling/Scheduler.h
@@ -376,7 +376,7 @@
   double servedPart(TimePoint Now);
   std::chrono::milliseconds predictedWait(TierIndex Tier, bool Late,
                                           TimePoint Now);
-  bool wouldWaitTooLong(const AskedRequest &Request, const Standing &Priority,
+  bool wouldWaitTooLong(const AskedRequest &Request, const Standing &Rank,
                         TimePoint Now);
   std::chrono::nanoseconds typicalService(const AskedRequest &Request) const;
   Standing standingOf(const AskedRequest &Request, TimePoint Now);
--- a/Source/Process/Scheduling/SchedulerAdmission.cpp
+++ b/Source/Process/Scheduling/SchedulerAdmission.cpp
@@ -173,20 +173,20 @@
 /// fifth of the callers, so under load long answers are deferred.
 Scheduler::Standing Scheduler::standingOf(const AskedRequest &Request,
                                           TimePoint Now) {
-  Standing Priority;
+  Standing Rank;
   if (Request.Objective_ == TimePoint()) {
-    Priority.Urgency_ = Request.Deadline_;
-    return Priority;
+    Rank.Urgency_ = Request.Deadline_;
+    return Rank;
   }
-  Priority.Late_ = Request.Objective_ < Now + LeastFirstEvent;
-  Priority.Service_ = typicalService(Request);
-  Priority.Length_ = lengthOf(Priority.Service_);
-  Priority.PutBack_ = mayPutBack(Request.Tier_, Priority.Length_, Now);
-  Priority.Urgency_ = Request.Objective_;
-  if (Priority.PutBack_)
-    Priority.Urgency_ +=
-        std::chrono::duration_cast<TimePoint::duration>(Priority.Service_);
-  return Priority;
+  Rank.Late_ = Request.Objective_ < Now + LeastFirstEvent;
+  Rank.Service_ = typicalService(Request);
+  Rank.Length_ = lengthOf(Rank.Service_);
+  Rank.PutBack_ = mayPutBack(Request.Tier_, Rank.Length_, Now);
+  Rank.Urgency_ = Request.Objective_;
+  if (Rank.PutBack_)
+    Rank.Urgency_ +=
+        std::chrono::duration_cast<TimePoint::duration>(Rank.Service_);
+  return Rank;
 }
 
 Scheduler::AnswerLength Scheduler::lengthOf(nanoseconds Service) const {
@@ -239,17 +239,17 @@
 /// refused after a long wait. A request whose long answer is deferred is
 /// refused after a shorter predicted wait.
 bool Scheduler::wouldWaitTooLong(const AskedRequest &Request,
-                                 const Standing &Priority, TimePoint Now) {
+                                 const Standing &Rank, TimePoint Now) {
   if (!Options_.RefuseLongWaits_ || Request.MaxWait_.count() == 0)
     return false;
   constexpr double MinFraction = 0.1;
   double Fraction = 1;
-  if (Priority.PutBack_)
-    Fraction = std::max(MinFraction,
-                        static_cast<double>(MeanHold_.count()) /
-                            static_cast<double>(Priority.Service_.count()));
+  if (Rank.PutBack_)
+    Fraction =
+        std::max(MinFraction, static_cast<double>(MeanHold_.count()) /
+                                  static_cast<double>(Rank.Service_.count()));
   std::chrono::duration<double, std::milli> MaxWait = Request.MaxWait_;
-  return predictedWait(Request.Tier_, Priority.Late_, Now) > MaxWait * Fraction;
+  return predictedWait(Request.Tier_, Rank.Late_, Now) > MaxWait * Fraction;
 }
 
 /// Excludes engines that fail their requests, unless that would leave too few:
