--- a/Source/Process/Scheduling/PrefixIndex.cpp
+++ b/Source/Process/Scheduling/PrefixIndex.cpp
@@ -11,8 +11,7 @@
 constexpr std::int64_t BytesPerToken = 4;
 /// Lower bound of the assumed capacity.
 constexpr std::size_t MinBlocks = 64;
-/// The assumed capacity grows by one part in this many while nothing is
-/// evicted.
+/// The assumed capacity grows by 1/GrowthDivisor while nothing is evicted.
 constexpr std::size_t GrowthDivisor = 8;
 constexpr std::size_t BlockBytes = BlockTokens * BytesPerToken;
 } // namespace
--- a/Source/Process/Scheduling/SchedulerAdmission.cpp
+++ b/Source/Process/Scheduling/SchedulerAdmission.cpp
@@ -78,9 +78,9 @@
   return std::max(Ends - HigherAdmitted, MinRateFraction * Ends);
 }
 
-/// Divides the number of requests ahead of one of \p Tier by the rate of slots
-/// for the tier. If it is shorter, returns the wait in the tier's own queue at
-/// the tier's guaranteed rate instead.
+/// \returns the predicted wait of a request of \p Tier: the number of requests
+/// ahead of it, divided by the rate of slots for the tier. If that is shorter,
+/// it is the wait in the tier's own queue at the tier's guaranteed rate.
 ///
 /// Requests that have missed their objective are served after the others and
 /// are not counted for them. Otherwise callers that retry too late would cause
@@ -127,8 +127,8 @@
 ///
 /// No caller gets a time beyond what it can wait for: in a long burst the times
 /// would otherwise grow to minutes and stay there after its end. When no such
-/// time is left, the delay is chosen at random within the time that the caller
-/// has.
+/// time is left, the delay is random within that limit, since no time in it is
+/// better than another.
 milliseconds Scheduler::returnAfter(const AskedRequest &Request,
                                     TimePoint Now) {
   TierIndex Tier = Request.Tier_;
@@ -235,7 +235,7 @@
   return Own.ShareByLength_[Length].part() >= leastPart(Length) * GrantedOfAll;
 }
 
-/// RetryDelay whether to refuse a request immediately that would otherwise be
+/// \returns whether to refuse a request immediately that would otherwise be
 /// refused after a long wait. A request whose long answer is deferred is
 /// refused after a shorter predicted wait.
 bool Scheduler::wouldWaitTooLong(const AskedRequest &Request,
--- a/Source/Process/Scheduling/SchedulerPlacement.cpp
+++ b/Source/Process/Scheduling/SchedulerPlacement.cpp
@@ -57,7 +57,7 @@
          Server.betweenTokens() * expectedAnswer(Request).count();
 }
 
-/// Returns whether the engine can finish the request by its deadline. If it
+/// \returns whether the engine can finish the request by its deadline. If it
 /// can't, the prefill there would be wasted; another engine may be faster.
 bool Scheduler::finishesInTime(const AskedRequest &Request,
                                const ServerModel &Server, TimePoint Now) const {
@@ -106,7 +106,7 @@
   return Longest;
 }
 
-/// Returns whether earlier checks in this round show that no engine has room.
+/// \returns whether earlier checks in this round show that no engine has room.
 /// Without this check, a queue of which nothing can be granted costs the keeper
 /// a check of every engine for each waiting request, at each message. Its
 /// answers then come after its callers have left, and callers that retry keep
@@ -123,7 +123,7 @@
          Request.Prompt_ <= Round_.LongestKeeping_;
 }
 
-/// Returns the longest pause between events that the prompt may cause. This is
+/// \returns the longest pause between events that the prompt may cause. This is
 /// the pause with which answers still meet their objective or, for a prompt so
 /// long that it exceeds that pause everywhere, a multiple of the smallest pause
 /// that it causes on any engine.
@@ -142,7 +142,7 @@
   return MinPause * UnavoidableFactor;
 }
 
-/// Returns whether no pause between events at the engine gets longer than \p
+/// \returns whether no pause between events at the engine gets longer than \p
 /// Longest.
 ///
 /// An engine reads a prompt in chunks between the tokens of all requests that
@@ -213,7 +213,7 @@
   return MinBetweenTokens;
 }
 
-/// Returns where a long prompt should go, or nothing if any engine will do.
+/// \returns where a long prompt should go, or nothing if any engine will do.
 /// Reading it again on another engine would cost that engine's time and, with a
 /// full cache, evict blocks of another prompt, which would then have to be read
 /// again in turn. While there is time, the request therefore waits for an
