--- a/Source/Process/Keeping/Cell.cpp
+++ b/Source/Process/Keeping/Cell.cpp
@@ -78,11 +78,12 @@
 
 namespace {
 
-/// A link counts as strong that carries at least half of what the strongest
-/// one does: like VMs then share the cells, whatever their exact figures.
+/// A link counts as strong if it has at least half the bandwidth of the
+/// strongest one. Similar VMs then share the cells even if their bandwidths
+/// differ slightly.
 constexpr std::uint32_t StrongLinkDivisor = 2;
 
-std::uint32_t leastStrongLink(std::span<const Member> Candidates) {
+std::uint32_t minStrongLinkMbps(std::span<const Member> Candidates) {
   std::uint32_t Strongest = 0;
   for (const Member &Candidate : Candidates)
     Strongest = std::max(Strongest, Candidate.LinkMbps_);
@@ -92,10 +93,10 @@
 } // namespace
 
 const Member *keeperOf(const CellId &Cell, std::span<const Member> Candidates) {
-  // Cells of one index of all pools of a service have one keeper: it counts
-  // what a customer uses of its allotment in all of them.
+  // Cells with the same index in all pools of a service have the same keeper,
+  // so that it can count a customer's use of its allotment across the pools.
   std::uint64_t Seed = stableHash(Cell.Service_.str(), Cell.Index_);
-  std::uint32_t Strong = leastStrongLink(Candidates);
+  std::uint32_t Strong = minStrongLinkMbps(Candidates);
   auto Weight = [Seed, Strong](const Member &Candidate) {
     return std::tuple(Candidate.LinkMbps_ >= Strong,
                       stableHash(Candidate.Id_.str(), Seed), Candidate.Id_);
--- a/Source/Process/Keeping/Cell.h
+++ b/Source/Process/Keeping/Cell.h
@@ -1,7 +1,7 @@
 #pragma once
 /// \file
-/// Cells: slices of a pool, each scheduled by one keeper, and the choice of
-/// the keeper by rendezvous hashing over the live daemons.
+/// Cells: partitions of a pool, each scheduled by one keeper, and the choice of
+/// that keeper by rendezvous hashing over the live daemons.
 
 #include "Common/Ids.h"
 #include "Generated/Peer_generated.h"
@@ -15,19 +15,21 @@
 
 namespace samphireshunt {
 
-/// Servers of one cell on average, at the most; with more, a pool is cut into
-/// more cells. A decision looks at all engines of its cell.
+/// The largest average number of servers per cell. A larger pool is split into
+/// more cells, because each scheduling decision looks at all engines of its
+/// cell.
 inline constexpr std::size_t MaxCellServers = 48;
 
-/// Keepers of one service at the most. What a customer may use is divided among
-/// them: with many, no part is as large as a request.
+/// The maximum number of keepers per service. They divide what a customer may
+/// use among them: with more keepers, no share would be as large as a single
+/// request.
 inline constexpr std::uint32_t MostKeepers = 8;
 
 struct CellId {
   ServiceName Service_;
   PoolName Pool_;
   std::uint32_t Index_ = 0;
-  // NOLINTNEXTLINE: blames the code that the compiler writes here.
+  // NOLINTNEXTLINE: the check reports compiler-generated code here.
   auto operator<=>(const CellId &) const = default;
 
   std::string str() const;
@@ -35,36 +37,39 @@
   static CellId fromWire(const std::unique_ptr<wire::CellT> &Cell);
 };
 
-/// Into how many cells a pool is cut.
+/// Returns the number of cells that the pool is split into.
 std::uint32_t cellCount(const Pool &Whole);
-/// The cell of a server, by jump consistent hashing: a cell more takes its part
-/// of the others' servers, and leaves the rest where they are.
+/// Returns the cell of a server, by jump consistent hashing: an additional cell
+/// takes its share of the servers from the other cells and moves no others.
 std::uint32_t cellOf(const ServerName &Server, std::uint32_t Count);
-/// The cell for a request, by a key of its own or of its session, from 0 to
-/// cellCount() - 1: each cell gets requests as it has servers.
+/// Returns the cell for a request, from 0 to cellCount() - 1, by a key of the
+/// request or its session. Each cell gets requests in proportion to its number
+/// of servers.
 ///
-/// Load pattern: more requests than all servers can do. Cells differ in size by
-/// a tenth and more; given equal parts, the small ones refuse requests and wait
-/// in vain for places while the large ones have some free. One server that
-/// comes or goes takes along only the keys that are its own, so that nearly all
-/// sessions stay where their prompts are cached.
+/// Cells differ in size by a tenth and more. With equal shares of the requests
+/// under overload, small cells would refuse requests and wait for slots while
+/// large ones have free slots. Adding or removing one server moves only the
+/// keys that map to it, so nearly all sessions stay where their prompts are
+/// cached.
 std::uint32_t cellForKey(const Pool &Whole, std::uint64_t Key);
-/// The servers of one cell, in the document's order.
+/// Returns the servers of one cell, in the document's order.
 std::vector<const BackendServer *> cellServers(const Pool &Whole,
                                                std::uint32_t Index);
 
-/// One of the first MostKeepers cells: keeperOf() it is the keeper of \p Cell.
+/// Maps a cell to one of the first MostKeepers cells of its pool; keeperOf()
+/// that cell is also the keeper of \p Cell.
 CellId keptWith(const CellId &Cell);
 
-/// The member that keeps the cell: of those with strong network links the one
-/// with the highest hash of cell and member, so that a change of one member
-/// moves only that member's cells.
+/// Returns the member that schedules the cell: of the members with strong
+/// network links, the one with the highest hash of cell and member. A change of
+/// one member moves only that member's cells.
 ///
-/// All messages about a cell's requests cross its keeper's link. On the weakest
-/// links they queue up in a burst: grants come seconds late, engines idle on
-/// requests whose callers have left, and callers wait for an answer that is on
-/// its way. Links differ twentyfold within a fleet, so the weaker ones keep
-/// cells only where no strong one is in reach.
+/// All messages about a cell's requests cross its keeper's link. Bandwidths
+/// differ by a factor of twenty within a fleet, and on the weakest links a
+/// burst of messages queues up: grants arrive seconds late, engines idle on
+/// requests whose callers have left, and callers wait for an answer that is
+/// still in transit. Members with weak links therefore schedule cells only if
+/// no member with a strong link is reachable.
 /// \returns null when \p Candidates is empty.
 const Member *keeperOf(const CellId &Cell, std::span<const Member> Candidates);
 
--- a/Source/Process/Keeping/EngineMonitor.cpp
+++ b/Source/Process/Keeping/EngineMonitor.cpp
@@ -55,7 +55,8 @@
   std::uint64_t NextEvent_ = 0;
 };
 
-/// A report that can't be read counts as none.
+/// Parses a load report; an invalid one is logged and counts as an empty
+/// report.
 EngineReport readReport(const ServerName &Server, const std::string &Text) {
   try {
     Json Body = Json::parse(Text);
@@ -82,8 +83,9 @@
       co_await httpCall(Address, std::move(Request), Options_.Timeout_);
   Watched &State = Watched_[Key];
   State.Busy_ = false;
-  // An engine that answers with an error, or whose report can't be read, does
-  // not report load; only one that can't be reached is taken for gone.
+  // An engine that answers with an error, or with an invalid report, is
+  // reachable but reports no load. Only an engine that can't be reached is
+  // considered unhealthy.
   bool Reached = Response.has_value();
   State.Failures_ = Reached ? 0 : State.Failures_ + 1;
   bool Healthy = State.Failures_ < Options_.FailuresToUnhealthy_;
@@ -99,10 +101,10 @@
     Keeper_.cacheEvicted(Key.first, Key.second, {}, false);
 }
 
-/// Cache events come late and with gaps. After a gap nothing that was
-/// evicted in it can be known, so the engine's whole index is dropped: it
-/// fills again from dispatches, while a wrong entry would send prompts to an
-/// engine that has to work on them anew.
+/// Fetches the cache events since the last poll. They arrive late and may have
+/// gaps. After a gap it is unknown which blocks were evicted, so the whole
+/// prefix index of the engine is cleared: dispatches fill it again, while a
+/// stale entry would route prompts to an engine that has to recompute them.
 Awaitable<void> EngineMonitor::readEvents(ServerKey Key, Endpoint Address) {
   HttpRequest Request;
   Request.Target_ =
@@ -130,8 +132,8 @@
       Snapshot->service(Orphan.Cell_.Service_);
   const Pool *Whole = Service ? Service->pool(Orphan.Cell_.Pool_) : nullptr;
   const BackendServer *Server = Whole ? Whole->find(Request.Server_) : nullptr;
-  // A non-idempotent request is left to finish: cut in the middle, nobody
-  // could tell what of it took effect.
+  // A non-idempotent request is left to finish: if it were aborted midway,
+  // nobody could tell which of its effects took place.
   if (!Server || Request.NonIdempotent_ || Whole->Kind_ != PoolKind::Model)
     return;
   logEvent(LogCategory::Keeper, spdlog::level::info, "orphan",
@@ -142,9 +144,10 @@
   spawnLogged(Control_, "cancel-orphan", std::move(Cancel));
 }
 
-/// The daemon may only be cut off from this one and still be streaming to its
-/// caller. The engine knows whether anyone reads the stream: only one that
-/// nobody reads is cancelled.
+/// Cancels the request at its engine once nobody reads its stream. The ingress
+/// daemon may only be partitioned from this one and still be streaming to its
+/// caller; the engine knows whether the stream has a reader, and refuses to
+/// cancel it while it has.
 Awaitable<void> EngineMonitor::cancelOrphan(Endpoint Address, RequestId Id) {
   asio::steady_timer Timer(Control_);
   for (int Try = 0; Try < Options_.OrphanTries_ && !Stopped_; ++Try) {
--- a/Source/Process/Keeping/EngineMonitor.h
+++ b/Source/Process/Keeping/EngineMonitor.h
@@ -1,7 +1,8 @@
 #pragma once
 /// \file
-/// Asks the engines of kept cells for their load and cache events, and cancels
-/// the streams of dead daemons. Runs on the control thread.
+/// Polls the engines of the cells scheduled here for their load and cache
+/// events, and cancels the requests of dead daemons. Runs on the control
+/// thread.
 
 #include "Process/Keeping/KeeperService.h"
 
@@ -16,7 +17,7 @@
   struct Options {
     std::chrono::milliseconds Period_{500};
     std::chrono::milliseconds Timeout_{400};
-    /// Failed reports in a row before an engine gets no new work.
+    /// Consecutive unanswered polls after which an engine gets no new work.
     int FailuresToUnhealthy_ = 2;
     std::chrono::milliseconds OrphanRetry_{1000};
     int OrphanTries_ = 60;
@@ -26,8 +27,8 @@
                 KeeperService &Keeper, Options Settings);
   void start();
   void stop() { Stopped_ = true; }
-  /// Cancels the request at its engine, unless it must not run again or its
-  /// daemon turns out to be still connected there.
+  /// Cancels the request at its engine, unless it is non-idempotent or the
+  /// engine reports that its ingress daemon is still connected.
   void cleanOrphan(const OrphanedRequest &Orphan);
 
 private:
--- a/Source/Process/Keeping/GrantClient.cpp
+++ b/Source/Process/Keeping/GrantClient.cpp
@@ -19,24 +19,25 @@
 
 namespace {
 
-/// How long a keeper that could not be reached, or knows nothing, is passed
-/// over.
-constexpr milliseconds UnreachableTime{2000};
-/// How long one that was late is passed over: a VM that was slow for a second
-/// is so for some more.
-constexpr milliseconds SlowTime{5000};
-/// A keeper answers a request within the time that it may wait, give or take a
-/// look at its queue each 10 ms and the way between two VMs.
-constexpr milliseconds LateAnswer{250};
-/// How often asks are checked for answers that are late.
+/// How long a keeper is avoided that could not be reached or has no
+/// configuration.
+constexpr milliseconds UnreachableBackoff{2000};
+/// How long a keeper is avoided whose answers were overdue: a VM that was slow
+/// for a second is likely to stay slow for a few more.
+constexpr milliseconds SlowBackoff{5000};
+/// How long an answer may take beyond the maximum wait of its request. A keeper
+/// answers within that wait; its queue checks every 10 ms and the network round
+/// trip are added.
+constexpr milliseconds AnswerMargin{250};
+/// How often pending requests are checked for overdue answers.
 constexpr milliseconds CheckPeriod{100};
-/// When the check itself comes so late, it is this VM that is slow.
-constexpr milliseconds OwnDelay{50};
+/// If the check itself runs later than this, it is the local VM that is slow.
+constexpr milliseconds MaxCheckDelay{50};
 
 } // namespace
 
-GrantClient::GrantClient(asio::io_context &Control, VmId Self, Hooks Reactions)
-    : Control_(Control), Self_(std::move(Self)), Hooks_(std::move(Reactions)),
+GrantClient::GrantClient(asio::io_context &Control, VmId Self, Hooks Callbacks)
+    : Control_(Control), Self_(std::move(Self)), Hooks_(std::move(Callbacks)),
       RebindTimer_(Control), CheckTimer_(Control) {}
 
 void GrantClient::acquire(CellId Cell, AskedRequest Request,
@@ -57,19 +58,20 @@
   auto Now = steady_clock::now();
   std::erase_if(Unreachable_,
                 [Now](const auto &Item) { return Item.second <= Now; });
-  std::vector<VmId> Passed;
+  std::vector<VmId> Avoided;
   for (const auto &[Id, Until] : Unreachable_)
-    Passed.push_back(Id);
-  return Hooks_.KeeperOf_(Cell, Passed);
+    Avoided.push_back(Id);
+  return Hooks_.KeeperOf_(Cell, Avoided);
 }
 
 void GrantClient::sendAsk(Ask &Target) {
-  // With no other keeper in reach this daemon keeps the cell itself, with the
-  // share of the engines' limits that its part of the fleet may use.
+  // If no other keeper is reachable, this daemon schedules the cell itself,
+  // with the share of the engines' limits that its partition of the fleet may
+  // use.
   Target.Keeper_ = chooseKeeper(Target.Cell_).value_or(Self_);
   milliseconds MaxWait = Target.Request_.MaxWait_;
   if (MaxWait.count() > 0)
-    Target.AnswerDue_ = steady_clock::now() + MaxWait + LateAnswer;
+    Target.AnswerDue_ = steady_clock::now() + MaxWait + AnswerMargin;
   if (Target.Keeper_ != Self_)
     return Hooks_.Send_(Target.Keeper_,
                         encodeAsk(Target.Cell_, Target.Request_));
@@ -99,7 +101,7 @@
       sendWithdraw(Node.mapped().Cell_, Id, Node.mapped().Keeper_);
       return;
     }
-    // The grant came while the withdrawal was on its way here.
+    // The grant arrived while the withdrawal was queued here.
     finish(Id, ServedSample());
   });
 }
@@ -126,33 +128,33 @@
   });
 }
 
-void GrantClient::done(RequestId Id, ServedSample Seen) {
-  asio::post(Control_, [this, Id, Seen] { finish(Id, Seen); });
+void GrantClient::done(RequestId Id, ServedSample Sample) {
+  asio::post(Control_, [this, Id, Sample] { finish(Id, Sample); });
 }
 
-void GrantClient::finish(const RequestId &Id, const ServedSample &Seen) {
+void GrantClient::finish(const RequestId &Id, const ServedSample &Sample) {
   auto Node = Granted_.extract(Id);
   if (!Node)
     return;
   const Granted &Ended = Node.mapped();
   if (Ended.Keeper_ == Self_)
-    return Local_->done(Ended.Cell_, Id, Seen);
-  Hooks_.Send_(Ended.Keeper_, encodeDone(Ended.Cell_, Id, Seen));
+    return Local_->done(Ended.Cell_, Id, Sample);
+  Hooks_.Send_(Ended.Keeper_, encodeDone(Ended.Cell_, Id, Sample));
 }
 
-void GrantClient::onDecision(const Decision &Taken, const VmId &From) {
-  if (const auto *Grant = std::get_if<GrantDecision>(&Taken))
+void GrantClient::onDecision(const Decision &Made, const VmId &From) {
+  if (const auto *Grant = std::get_if<GrantDecision>(&Made))
     onGrant(*Grant, From);
-  else if (const auto *Refusal = std::get_if<RefuseDecision>(&Taken))
+  else if (const auto *Refusal = std::get_if<RefuseDecision>(&Made))
     onRefusal(*Refusal, From);
   else
-    onCancel(std::get<CancelDecision>(Taken));
+    onCancel(std::get<CancelDecision>(Made));
 }
 
-/// A grant may come late, for a request that was given up; from a keeper that
-/// this entry no longer asks; or twice. Only the keeper that is asked now can
-/// grant, and only once: any other grant is handed back, or the engine's place
-/// would stay taken until the entry's end.
+/// Accepts a grant only once, and only from the keeper that the request is
+/// currently assigned to. A grant may arrive after its request was abandoned,
+/// from a previous keeper, or twice. Any other grant is returned to its keeper;
+/// otherwise its engine slot would stay occupied until this daemon ends.
 void GrantClient::onGrant(const GrantDecision &Grant, const VmId &From) {
   auto Found = Asks_.find(Grant.Id_);
   if (Found == Asks_.end() || Found->second.Keeper_ != From) {
@@ -163,32 +165,34 @@
       handBack(Grant.Id_, From);
     return;
   }
-  Ask Granting = std::move(Found->second);
+  Ask Accepted = std::move(Found->second);
   Asks_.erase(Found);
-  const AskedRequest &Asked = Granting.Request_;
+  const AskedRequest &Request = Accepted.Request_;
   Granted Target;
-  Target.Cell_ = Granting.Cell_;
+  Target.Cell_ = Accepted.Cell_;
   Target.Keeper_ = From;
   Target.Request_ = {
-      Asked.Id_,     Asked.Tier_,   Asked.Customer_,      Grant.Server_,
-      Asked.Prompt_, Asked.Answer_, Asked.NonIdempotent_, Self_};
-  Granted_[Asked.Id_] = std::move(Target);
-  Granting.OnAnswer_({ResultCode::Ok, Grant.Server_, {}});
+      Request.Id_,     Request.Tier_,   Request.Customer_,      Grant.Server_,
+      Request.Prompt_, Request.Answer_, Request.NonIdempotent_, Self_};
+  Granted_[Request.Id_] = std::move(Target);
+  Accepted.OnAnswer_({ResultCode::Ok, Grant.Server_, {}});
 }
 
 void GrantClient::handBack(const RequestId &Id, const VmId &Keeper) {
-  // The cell is not known here any more; a keeper looks in all of its cells.
+  // The cell is no longer known here; the keeper searches all its cells.
   if (Keeper == Self_)
     return Local_->handBack(Id);
   Hooks_.Send_(Keeper, encodeDone(CellId(), Id, ServedSample()));
 }
 
 void GrantClient::onRefusal(const RefuseDecision &Refusal, const VmId &From) {
-  // A daemon that has just started may be the keeper by its name, and be turned
-  // away by the platform's service: it knows no engine, others do.
+  // A daemon that has just started may be chosen as the keeper by the hash
+  // before it has a configuration, because the platform's service turned it
+  // away. It knows no engine, but others do.
   if (Refusal.Code_ == ResultCode::NotReady && From != Self_)
-    return passOver(From, UnreachableTime);
-  // One that was passed over may refuse late what another one has room for.
+    return passOver(From, UnreachableBackoff);
+  // A refusal from a previous keeper is ignored: the current one may have
+  // capacity for the request.
   auto Found = Asks_.find(Refusal.Id_);
   if (Found == Asks_.end() || Found->second.Keeper_ != From)
     return;
@@ -206,13 +210,13 @@
   Hooks_.Check_(Keeper);
   logEvent(LogCategory::Keeper, spdlog::level::warn, "keeper-unreachable",
            {{"keeper", Keeper.str()}});
-  passOver(Keeper, UnreachableTime);
+  passOver(Keeper, UnreachableBackoff);
 }
 
-void GrantClient::passOver(const VmId &Keeper, milliseconds Time) {
-  Unreachable_[Keeper] = steady_clock::now() + Time;
+void GrantClient::passOver(const VmId &Keeper, milliseconds Duration) {
+  Unreachable_[Keeper] = steady_clock::now() + Duration;
   rebind();
-  scheduleRebind(Time + milliseconds(1));
+  scheduleRebind(Duration + milliseconds(1));
 }
 
 void GrantClient::scheduleCheck() {
@@ -225,7 +229,7 @@
     if (Error)
       return;
     auto Now = steady_clock::now();
-    if (Now - CheckTimer_.expiry() > OwnDelay)
+    if (Now - CheckTimer_.expiry() > MaxCheckDelay)
       Late_.clear();
     else
       checkLateAnswers(Now);
@@ -233,29 +237,30 @@
   });
 }
 
-/// A keeper whose VM is slow or out of processor time holds its links, but its
-/// answers come after the callers have left: all requests of its cells fail for
-/// as long as that lasts. Another daemon can keep the cell. Only at the second
-/// check in a row: after a pause of this process its answers may lie unread.
+/// Fails over from keepers whose answers are overdue. A keeper whose VM is slow
+/// or has no processor time keeps its links open, but answers after the callers
+/// have left, so that all requests of its cells fail until it recovers. Another
+/// daemon can schedule the cell meanwhile. This takes two consecutive checks:
+/// after a pause of this process, answers may be received but not yet read.
 void GrantClient::checkLateAnswers(TimePoint Now) {
-  std::set<VmId> Late;
+  std::set<VmId> Overdue;
   for (const auto &[Id, Target] : Asks_)
     if (Target.Keeper_ != Self_ && Target.AnswerDue_ <= Now)
-      Late.insert(Target.Keeper_);
-  std::set<VmId> Before = std::exchange(Late_, Late);
-  for (const VmId &Keeper : Late) {
-    if (!Before.contains(Keeper))
+      Overdue.insert(Target.Keeper_);
+  std::set<VmId> Previous = std::exchange(Late_, Overdue);
+  for (const VmId &Keeper : Overdue) {
+    if (!Previous.contains(Keeper))
       continue;
     Late_.erase(Keeper);
     logEvent(LogCategory::Keeper, spdlog::level::warn, "keeper-late",
              {{"keeper", Keeper.str()}});
     withdrawAll(Keeper);
-    passOver(Keeper, SlowTime);
+    passOver(Keeper, SlowBackoff);
   }
 }
 
-/// A keeper that is left although its link holds must hear it: what it granted
-/// would keep its places there for ever.
+/// Withdraws all requests from a keeper that is abandoned although its link is
+/// open. Otherwise what it granted would occupy its slots forever.
 void GrantClient::withdrawAll(const VmId &Keeper) {
   for (const auto &[Id, Target] : Asks_)
     if (Target.Keeper_ == Keeper)
@@ -274,35 +279,36 @@
 }
 
 void GrantClient::rebind() {
-  // Nobody answers on this stack, the keeper in this process neither: the maps
-  // stay as they are while they are walked through.
-  auto Moves = [this](const auto &Target) {
+  // The maps don't change during these loops: nobody answers on this stack, not
+  // even the keeper in this process.
+  auto MustMove = [this](const auto &Target) {
     return Unreachable_.contains(Target.Keeper_) ||
            chooseKeeper(Target.Cell_).value_or(Self_) != Target.Keeper_;
   };
-  auto Leave = [this](const RequestId &Id, const auto &Target) {
+  auto WithdrawFromKeeper = [this](const RequestId &Id, const auto &Target) {
     if (!Unreachable_.contains(Target.Keeper_))
       sendWithdraw(Target.Cell_, Id, Target.Keeper_);
   };
-  // What runs goes first: the next keeper must not give its places away.
+  // Running requests are moved first: the next keeper must not grant their
+  // slots to others.
   for (auto &[Id, Target] : Granted_)
-    if (Moves(Target)) {
-      Leave(Id, Target);
+    if (MustMove(Target)) {
+      WithdrawFromKeeper(Id, Target);
       sendRunning(Target);
     }
   for (auto &[Id, Target] : Asks_)
-    if (Moves(Target)) {
-      Leave(Id, Target);
+    if (MustMove(Target)) {
+      WithdrawFromKeeper(Id, Target);
       sendAsk(Target);
     }
 }
 
 bool GrantClient::awaiting(const VmId &Keeper) const {
-  auto AskedHere = [&](const auto &Item) {
+  auto IsAssigned = [&](const auto &Item) {
     return Item.second.Keeper_ == Keeper;
   };
-  return std::ranges::any_of(Asks_, AskedHere) ||
-         std::ranges::any_of(Granted_, AskedHere);
+  return std::ranges::any_of(Asks_, IsAssigned) ||
+         std::ranges::any_of(Granted_, IsAssigned);
 }
 
 } // namespace samphireshunt
--- a/Source/Process/Keeping/GrantClient.h
+++ b/Source/Process/Keeping/GrantClient.h
@@ -1,8 +1,10 @@
 #pragma once
 /// \file
-/// The entry's side of grants: asks the keeper of a request's cell, moves all
-/// asks to the next keeper when that one is lost, and tells keepers what runs.
-/// Calls may come from any thread; the state lives on the control thread.
+/// The ingress daemon's side of grants: requests them from the keeper of a
+/// request's cell, moves all pending requests to the next keeper when that one
+/// is lost, and reports to keepers which requests run. Public functions may be
+/// called from any thread unless noted; the state is confined to the control
+/// thread.
 
 #include "Process/Keeping/Cell.h"
 #include "Process/Scheduling/Scheduler.h"
@@ -18,7 +20,7 @@
 
 namespace samphireshunt {
 
-/// The keeper's answer to one ask.
+/// The keeper's answer to one grant request.
 struct GrantAnswer {
   ResultCode Code_ = ResultCode::Ok;
   ServerName Server_; ///< With Ok.
@@ -28,40 +30,44 @@
 class GrantClient {
 public:
   struct Hooks {
-    /// The keeper to ask, without those in \p Unreachable.
+    /// Returns the keeper of the cell, or nothing if all candidates are in
+    /// \p Unreachable.
     std::function<std::optional<VmId>(const CellId &,
                                       const std::vector<VmId> &Unreachable)>
         KeeperOf_;
     std::function<void(const VmId &, std::string)> Send_;
-    /// A keeper's link broke: does it live?
+    /// Called when the link to a keeper broke, to probe whether it is alive.
     std::function<void(const VmId &)> Check_;
   };
   using Answered = std::function<void(GrantAnswer)>;
   using Cancelled = std::function<void()>;
 
-  GrantClient(boost::asio::io_context &Control, VmId Self, Hooks Reactions);
-  /// The keeper in this process, which tells its decisions in turns of their
-  /// own; set once, before the first ask.
+  GrantClient(boost::asio::io_context &Control, VmId Self, Hooks Callbacks);
+  /// Sets the keeper in this process, which delivers its decisions in
+  /// event-loop iterations of their own. Called once, before the first grant
+  /// request.
   void setLocalKeeper(class KeeperService *Keeper) { Local_ = Keeper; }
 
   // From any thread.
-  /// Calls \p OnAnswer once, on the control thread, unless withdrawn before.
+  /// Requests a grant. Calls \p OnAnswer once, on the control thread, unless
+  /// the request is withdrawn before.
   void acquire(CellId Cell, AskedRequest Request, Answered OnAnswer);
   void withdraw(RequestId Id);
-  /// The granted request was dispatched. \p OnCancel is called on the control
-  /// thread when its keeper takes the engine for a higher tier.
+  /// Records that the granted request was dispatched. \p OnCancel is called on
+  /// the control thread when the keeper preempts it for a higher tier.
   void dispatched(RequestId Id, Cancelled OnCancel);
   void firstToken(RequestId Id, std::chrono::microseconds Delay);
-  /// Ends the grant, whether or not it was used.
-  void done(RequestId Id, ServedSample Seen);
+  /// Releases the grant, whether or not it was used.
+  void done(RequestId Id, ServedSample Sample);
 
   // On the control thread.
-  void onDecision(const Decision &Taken, const VmId &From);
+  void onDecision(const Decision &Made, const VmId &From);
   void onLinkDown(const VmId &Keeper);
-  /// Passes over keepers that are late with their answers at two checks in a
-  /// row.
+  /// Fails over from keepers whose answers are overdue in two consecutive
+  /// checks.
   void checkLateAnswers(TimePoint Now);
-  /// Members changed: asks whose keeper is another one now move there.
+  /// Moves all requests whose keeper has changed to the new one. Called when
+  /// members change.
   void rebind();
   bool awaiting(const VmId &Keeper) const;
   std::size_t waiting() const { return Asks_.size(); }
@@ -73,7 +79,7 @@
     AskedRequest Request_;
     Answered OnAnswer_;
     VmId Keeper_;
-    /// By then its keeper has granted or refused it.
+    /// The time by which its keeper should have granted or refused it.
     TimePoint AnswerDue_ = TimePoint::max();
   };
   struct Granted {
@@ -90,11 +96,11 @@
   void sendWithdraw(const CellId &Cell, const RequestId &Id, const VmId &To);
   void onGrant(const GrantDecision &Grant, const VmId &From);
   void onRefusal(const RefuseDecision &Refusal, const VmId &From);
-  void passOver(const VmId &Keeper, std::chrono::milliseconds Time);
+  void passOver(const VmId &Keeper, std::chrono::milliseconds Duration);
   void withdrawAll(const VmId &Keeper);
   void onCancel(const CancelDecision &Cancel);
   void handBack(const RequestId &Id, const VmId &Keeper);
-  void finish(const RequestId &Id, const ServedSample &Seen);
+  void finish(const RequestId &Id, const ServedSample &Sample);
   void scheduleRebind(std::chrono::milliseconds Delay);
   void scheduleCheck();
 
@@ -104,9 +110,9 @@
   KeeperService *Local_ = nullptr;
   std::unordered_map<RequestId, Ask> Asks_;
   std::unordered_map<RequestId, Granted> Granted_;
-  /// Until when each keeper that failed is passed over.
+  /// Keepers that failed, with the time until which each is avoided.
   std::map<VmId, TimePoint> Unreachable_;
-  /// Keepers that were late with an answer at the last check.
+  /// Keepers whose answers were overdue at the last check.
   std::set<VmId> Late_;
   boost::asio::steady_timer RebindTimer_;
   boost::asio::steady_timer CheckTimer_;
--- a/Source/Process/Keeping/KeeperChoice.cpp
+++ b/Source/Process/Keeping/KeeperChoice.cpp
@@ -5,26 +5,27 @@
 namespace samphireshunt {
 
 namespace {
-/// Others are forgotten beyond so many: who is unreachable differs each time.
-constexpr std::size_t MostKnown = 1000;
+/// The cache is cleared at this size, because the set of unreachable members is
+/// part of its keys and differs each time.
+constexpr std::size_t MaxCached = 1000;
 } // namespace
 
 std::optional<VmId>
 KeeperChoice::keeperOf(const CellId &Cell,
                        const std::vector<VmId> &Unreachable) {
-  std::pair Asked(keptWith(Cell), Unreachable);
-  auto Found = Known_.find(Asked);
+  std::pair Key(keptWith(Cell), Unreachable);
+  auto Found = Known_.find(Key);
   if (Found != Known_.end())
     return Found->second;
-  std::vector<Member> Able = Candidates_();
-  std::erase_if(Able, [&](const Member &Candidate) {
+  std::vector<Member> Candidates = Candidates_();
+  std::erase_if(Candidates, [&](const Member &Candidate) {
     return std::ranges::binary_search(Unreachable, Candidate.Id_);
   });
-  const Member *Keeper = samphireshunt::keeperOf(Asked.first, Able);
-  if (Known_.size() >= MostKnown)
+  const Member *Keeper = samphireshunt::keeperOf(Key.first, Candidates);
+  if (Known_.size() >= MaxCached)
     Known_.clear();
   auto Chosen = Keeper ? std::optional(Keeper->Id_) : std::nullopt;
-  Known_[std::move(Asked)] = Chosen;
+  Known_[std::move(Key)] = Chosen;
   return Chosen;
 }
 
--- a/Source/Process/Keeping/KeeperChoice.h
+++ b/Source/Process/Keeping/KeeperChoice.h
@@ -1,10 +1,11 @@
 #pragma once
 /// \file
-/// Remembers who keeps which cell. Pure.
+/// Caches which member schedules which cell. Does no I/O.
 ///
-/// The choice looks at every member. Each request needs it, and each change of
-/// a member asks it again for all that wait and run: in a fleet of hundreds a
-/// weak VM would be busy with it just when members come and go.
+/// Choosing a keeper looks at every member. Each request needs the choice, and
+/// each change of a member repeats it for all waiting and running requests:
+/// without the cache, a weak VM in a fleet of hundreds would be overloaded by
+/// it just when members join and leave.
 
 #include "Process/Keeping/Cell.h"
 #include "Process/Membership/MemberTable.h"
@@ -19,15 +20,16 @@
 
 class KeeperChoice {
 public:
-  /// \p Candidates: all members that may keep cells.
+  /// \p Candidates returns all members that may schedule cells.
   explicit KeeperChoice(std::function<std::vector<Member>()> Candidates)
       : Candidates_(std::move(Candidates)) {}
 
-  /// The cell's keeper, of those that are not in \p Unreachable; nothing when
-  /// there is none. \p Unreachable is in rising order.
+  /// Returns the cell's keeper among the members that are not in
+  /// \p Unreachable, or nothing if there is none. \p Unreachable must be sorted
+  /// in ascending order.
   std::optional<VmId> keeperOf(const CellId &Cell,
                                const std::vector<VmId> &Unreachable);
-  /// A member changed, or this daemon itself.
+  /// Clears the cache. Called when a member, or this daemon itself, changed.
   void membersChanged() { Known_.clear(); }
 
 private:
--- a/Source/Process/Keeping/KeeperMessages.cpp
+++ b/Source/Process/Keeping/KeeperMessages.cpp
@@ -11,8 +11,9 @@
 namespace {
 
 std::uint32_t remainingMillis(TimePoint Deadline) {
-  auto Rest = duration_cast<milliseconds>(Deadline - steady_clock::now());
-  return static_cast<std::uint32_t>(std::max<std::int64_t>(1, Rest.count()));
+  auto Remaining = duration_cast<milliseconds>(Deadline - steady_clock::now());
+  return static_cast<std::uint32_t>(
+      std::max<std::int64_t>(1, Remaining.count()));
 }
 
 } // namespace
@@ -23,11 +24,13 @@
   Ask.cell = Cell.toWire();
   Ask.tier = Request.Tier_.count();
   Ask.customer = Request.Customer_.str();
-  // A span of time rather than an instant: clocks of VMs differ.
+  // The deadline is sent as a duration rather than an instant, because the
+  // clocks of VMs differ.
   Ask.deadline_ms = remainingMillis(Request.Deadline_);
   Ask.prompt_tokens = static_cast<std::uint32_t>(Request.Prompt_.count());
   Ask.answer_tokens = static_cast<std::uint32_t>(Request.Answer_.count());
-  // A long prompt has hundreds of blocks, of a few parts.
+  // A long prompt has hundreds of blocks but only a few prompt parts, so the
+  // parts are sent if they are known.
   for (const PromptPart &Part : Request.Parts_)
     Ask.parts.emplace_back(Part.Id_,
                            static_cast<std::uint32_t>(Part.Length_.count()));
@@ -59,18 +62,18 @@
 }
 
 std::string encodeDone(const CellId &Cell, const RequestId &Id,
-                       const ServedSample &Seen) {
+                       const ServedSample &Sample) {
   wire::DoneT Done;
   Done.id = toWire(Id);
   Done.cell = Cell.toWire();
-  Done.reached = Seen.Reached_;
-  Done.complete = Seen.Complete_;
-  Done.faulty = Seen.Faulty_;
-  Done.replaced = Seen.Replaced_;
-  Done.at_once = static_cast<std::uint32_t>(Seen.AtOnce_.count());
-  Done.generated = static_cast<std::uint32_t>(Seen.Generated_.count());
-  Done.first_token_us = static_cast<std::uint32_t>(Seen.FirstToken_.count());
-  Done.duration_us = static_cast<std::uint32_t>(Seen.Duration_.count());
+  Done.reached = Sample.Reached_;
+  Done.complete = Sample.Complete_;
+  Done.faulty = Sample.Faulty_;
+  Done.replaced = Sample.Replaced_;
+  Done.at_once = static_cast<std::uint32_t>(Sample.AtOnce_.count());
+  Done.generated = static_cast<std::uint32_t>(Sample.Generated_.count());
+  Done.first_token_us = static_cast<std::uint32_t>(Sample.FirstToken_.count());
+  Done.duration_us = static_cast<std::uint32_t>(Sample.Duration_.count());
   return encodeMessage(std::move(Done));
 }
 
@@ -91,27 +94,28 @@
 }
 
 AskedRequest askFromWire(const wire::AskT &Ask, const VmId &From) {
-  AskedRequest Asked;
-  Asked.Id_ = fromWire(Ask.id);
-  Asked.Tier_ = TierIndex(Ask.tier);
-  Asked.Customer_ = CustomerName(Ask.customer);
-  Asked.Deadline_ = steady_clock::now() + milliseconds(Ask.deadline_ms);
-  Asked.Prompt_ = Tokens(Ask.prompt_tokens);
-  Asked.Answer_ = Tokens(Ask.answer_tokens);
+  AskedRequest Request;
+  Request.Id_ = fromWire(Ask.id);
+  Request.Tier_ = TierIndex(Ask.tier);
+  Request.Customer_ = CustomerName(Ask.customer);
+  Request.Deadline_ = steady_clock::now() + milliseconds(Ask.deadline_ms);
+  Request.Prompt_ = Tokens(Ask.prompt_tokens);
+  Request.Answer_ = Tokens(Ask.answer_tokens);
   for (const wire::Part &Part : Ask.parts)
-    Asked.Parts_.push_back({Part.id(), Tokens(Part.tokens())});
-  Asked.Prefix_ = Ask.parts.empty() ? Ask.prefix : prefixHashes(Asked.Parts_);
-  Asked.NonIdempotent_ = Ask.non_idempotent;
+    Request.Parts_.push_back({Part.id(), Tokens(Part.tokens())});
+  Request.Prefix_ =
+      Ask.parts.empty() ? Ask.prefix : prefixHashes(Request.Parts_);
+  Request.NonIdempotent_ = Ask.non_idempotent;
   if (Ask.objective_ms > 0)
-    Asked.Objective_ = steady_clock::now() + milliseconds(Ask.objective_ms);
-  Asked.Guessed_ = Tokens(Ask.guessed_tokens);
-  Asked.MaxWait_ = milliseconds(Ask.max_wait_ms);
-  Asked.MaxPause_ = milliseconds(Ask.max_pause_ms);
-  Asked.AskedBefore_ = Ask.asked_before;
+    Request.Objective_ = steady_clock::now() + milliseconds(Ask.objective_ms);
+  Request.Guessed_ = Tokens(Ask.guessed_tokens);
+  Request.MaxWait_ = milliseconds(Ask.max_wait_ms);
+  Request.MaxPause_ = milliseconds(Ask.max_pause_ms);
+  Request.AskedBefore_ = Ask.asked_before;
   for (const std::string &Name : Ask.excluded)
-    Asked.Excluded_.emplace_back(Name);
-  Asked.Entry_ = From;
-  return Asked;
+    Request.Excluded_.emplace_back(Name);
+  Request.Entry_ = From;
+  return Request;
 }
 
 RunningRequest runningFromWire(const wire::RunningT &Running,
@@ -123,26 +127,26 @@
 }
 
 ServedSample sampleFromWire(const wire::DoneT &Done) {
-  ServedSample Seen;
-  Seen.Reached_ = Done.reached;
-  Seen.Complete_ = Done.complete;
-  Seen.Faulty_ = Done.faulty;
-  Seen.Replaced_ = Done.replaced;
-  Seen.Generated_ = Tokens(Done.generated);
-  Seen.AtOnce_ = Tokens(Done.at_once);
-  Seen.FirstToken_ = std::chrono::microseconds(Done.first_token_us);
-  Seen.Duration_ = std::chrono::microseconds(Done.duration_us);
-  return Seen;
+  ServedSample Sample;
+  Sample.Reached_ = Done.reached;
+  Sample.Complete_ = Done.complete;
+  Sample.Faulty_ = Done.faulty;
+  Sample.Replaced_ = Done.replaced;
+  Sample.Generated_ = Tokens(Done.generated);
+  Sample.AtOnce_ = Tokens(Done.at_once);
+  Sample.FirstToken_ = std::chrono::microseconds(Done.first_token_us);
+  Sample.Duration_ = std::chrono::microseconds(Done.duration_us);
+  return Sample;
 }
 
-std::string encodeDecision(const Decision &Taken) {
-  if (const auto *Grant = std::get_if<GrantDecision>(&Taken)) {
+std::string encodeDecision(const Decision &Made) {
+  if (const auto *Grant = std::get_if<GrantDecision>(&Made)) {
     wire::GrantT Message;
     Message.id = toWire(Grant->Id_);
     Message.server = Grant->Server_.str();
     return encodeMessage(std::move(Message));
   }
-  if (const auto *Refusal = std::get_if<RefuseDecision>(&Taken)) {
+  if (const auto *Refusal = std::get_if<RefuseDecision>(&Made)) {
     wire::RefuseT Message;
     Message.id = toWire(Refusal->Id_);
     Message.code = static_cast<int>(Refusal->Code_);
@@ -151,7 +155,7 @@
     return encodeMessage(std::move(Message));
   }
   wire::CancelT Message;
-  Message.id = toWire(std::get<CancelDecision>(Taken).Id_);
+  Message.id = toWire(std::get<CancelDecision>(Made).Id_);
   return encodeMessage(std::move(Message));
 }
 
--- a/Source/Process/Keeping/KeeperMessages.h
+++ b/Source/Process/Keeping/KeeperMessages.h
@@ -1,6 +1,7 @@
 #pragma once
 /// \file
-/// The messages between entries and keepers, to and from their typed values.
+/// Conversions between the messages of ingress daemons and keepers and their
+/// typed values.
 
 #include "Connection/PeerMessage.h"
 #include "Process/Keeping/Cell.h"
@@ -10,19 +11,19 @@
 
 namespace samphireshunt {
 
-// From an entry to a keeper.
+// From an ingress daemon to a keeper.
 std::string encodeAsk(const CellId &Cell, const AskedRequest &Request);
 std::string encodeWithdraw(const CellId &Cell, const RequestId &Id);
 std::string encodeRunning(const CellId &Cell, const RunningRequest &Request);
 std::string encodeFirstToken(const CellId &Cell, const RequestId &Id,
                              std::chrono::microseconds Delay);
 std::string encodeDone(const CellId &Cell, const RequestId &Id,
-                       const ServedSample &Seen);
+                       const ServedSample &Sample);
 AskedRequest askFromWire(const wire::AskT &Ask, const VmId &From);
 RunningRequest runningFromWire(const wire::RunningT &Running, const VmId &From);
 ServedSample sampleFromWire(const wire::DoneT &Done);
 
-// From a keeper to an entry.
-std::string encodeDecision(const Decision &Taken);
+// From a keeper to an ingress daemon.
+std::string encodeDecision(const Decision &Made);
 
 } // namespace samphireshunt
--- a/Source/Process/Keeping/PostedQueue.h
+++ b/Source/Process/Keeping/PostedQueue.h
@@ -1,12 +1,12 @@
 #pragma once
 /// \file
-/// A queue that is worked off in a turn of its own.
+/// A queue whose values are delivered in a later event-loop iteration.
 ///
-/// What goes wrong without it: a part that walks through its tables tells
-/// another one of a decision; that one calls back, and changes the tables
-/// beneath the walk. One notices by a process that ends in memory that was
-/// freed, or by places that are given out twice. What is queued here is
-/// delivered after the walk has returned.
+/// A component that iterates over its tables notifies another one of a
+/// decision; if that one called back at once, it would change the tables during
+/// the iteration. The process would then crash on freed memory, or the same
+/// slot would be granted twice. Queued values are delivered after the iteration
+/// has returned.
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/post.hpp>
@@ -18,7 +18,7 @@
 
 namespace samphireshunt {
 
-/// Used on the context's thread only.
+/// Not thread-safe; used only on the thread that runs the context.
 template <class Value> class PostedQueue {
 public:
   using Receiver = std::function<void(Value)>;
@@ -27,9 +27,9 @@
       : Context_(Context),
         State_(std::make_shared<State>(State{{}, std::move(Deliver)})) {}
 
-  /// Delivers \p Added in a later turn, after what was added before. However
-  /// much is added until then is delivered in one turn; nothing is once the
-  /// queue is gone.
+  /// Delivers \p Added in a later event-loop iteration, after the values pushed
+  /// before. All values pushed until then are delivered in one iteration.
+  /// Values that are queued when the queue is destroyed are not delivered.
   void push(Value Added) {
     bool First = State_->Waiting_.empty();
     State_->Waiting_.push_back(std::move(Added));
@@ -48,7 +48,7 @@
   };
 
   static void deliverAll(State &Present) {
-    // What is added meanwhile waits for the next turn.
+    // Values pushed during the delivery wait for the next iteration.
     for (Value &Next : std::exchange(Present.Waiting_, {}))
       Present.Deliver_(std::move(Next));
   }
