--- a/Source/Process/Keeping/KeeperService.cpp
+++ b/Source/Process/Keeping/KeeperService.cpp
@@ -11,41 +11,43 @@
 using std::chrono::steady_clock;
 
 namespace {
-/// A cell that is no longer this daemon's is dropped after it is unused for
+/// A cell that belongs to another keeper is dropped after it was unused for
 /// this long.
 constexpr std::chrono::seconds UnusedCellTime{10};
-/// The longest that messages are gathered for one round, whatever the last one
-/// took: five looks at the queues of a keeper that is not busy.
-constexpr milliseconds LongestRoundPause{50};
-/// Of each code.
-constexpr std::uint32_t RefusalLinesPerSecond = 20;
-/// A customer that is over its allotment stays over it for a while: the least
-/// time after which its callers are told to come back.
-constexpr milliseconds LeastAllotmentRetryAfter{300};
-
-/// What the request counts against its customer's allotment.
+/// The maximum time for which messages are batched between two scheduling
+/// rounds, however long the last round took. It is five times the tick interval
+/// of a keeper with waiting requests.
+constexpr milliseconds MaxRoundPause{50};
+/// The limit applies per result code.
+constexpr std::uint32_t MaxRefusalLogsPerSecond = 20;
+/// The minimum retry delay sent to callers of a customer that exceeds its
+/// allotment, because it usually exceeds it for a while.
+constexpr milliseconds MinAllotmentRetryAfter{300};
+
+/// Returns the cost of the request that is charged to its customer's allotment.
 double allotmentCost(const Allotment &Allowed, const AskedRequest &Request) {
   if (!Allowed.CountsTokens_)
     return 1;
-  Tokens Counted = Request.Prompt_ + Request.Answer_;
-  if (Counted.count() == 0)
-    Counted = Allowed.TokensOfOther_;
-  return static_cast<double>(Counted.count());
+  Tokens Charged = Request.Prompt_ + Request.Answer_;
+  if (Charged.count() == 0)
+    Charged = Allowed.TokensOfOther_;
+  return static_cast<double>(Charged.count());
 }
 } // namespace
 
 KeeperService::KeeperService(boost::asio::io_context &Control,
                              DocumentStore &Documents, Options Settings,
-                             Hooks Reactions)
-    : Documents_(Documents), Options_(Settings), Hooks_(std::move(Reactions)),
+                             Hooks Callbacks)
+    : Documents_(Documents), Options_(Settings), Hooks_(std::move(Callbacks)),
       Allotments_(Settings.Allotments_, steady_clock::now()),
-      RefusalLines_(RefusalLinesPerSecond),
-      Notices_(Control, [this](const Notice &Next) { tell(Next); }),
+      RefusalLines_(MaxRefusalLogsPerSecond),
+      Notices_(Control, [this](const Notice &Event) { tell(Event); }),
       Timer_(Control) {
   schedule();
 }
 
-/// Requests that wait are looked at often; a keeper that has none sleeps.
+/// Schedules the next tick: soon if requests wait, otherwise after the idle
+/// interval.
 void KeeperService::schedule() {
   bool Busy = std::ranges::any_of(Cells_, [](const auto &Item) {
     return Item.second->Scheduler_.waiting() > 0;
@@ -73,31 +75,33 @@
 
 void KeeperService::checkGoneEntries() {
   auto Now = steady_clock::now();
-  bool AnyTaken = false;
-  for (auto &[Entry, Gone] : GoneEntries_) {
+  bool AnyReleased = false;
+  for (auto &[Ingress, Gone] : GoneEntries_) {
     if (!Gone.HoldsPlaces_ || Now - Gone.Since_ < Options_.PlaceGrace_)
       continue;
-    takePlaces(Entry, Gone);
-    AnyTaken = true;
+    takePlaces(Ingress, Gone);
+    AnyReleased = true;
   }
-  // The entry lives but asks another keeper now, which knows what it runs.
+  // The ingress daemon is alive but uses another keeper now, which knows what
+  // it runs.
   std::erase_if(GoneEntries_, [&](const auto &Item) {
     return !Item.second.HoldsPlaces_ &&
            Now - Item.second.Since_ >= Options_.EntryGrace_;
   });
-  if (!AnyTaken)
+  if (!AnyReleased)
     return;
   for (auto &[Cell, Target] : Cells_)
     decide(Cell, *Target);
 }
 
-/// While the link was broken the entry told another keeper what ended. Kept,
-/// those requests would hold their places until nobody remembers them, and
-/// others wait past their deadlines although the engines are idle.
-void KeeperService::takePlaces(const VmId &Entry, GoneEntry &Gone) {
+/// Releases the slots of an ingress daemon whose link broke. It has reported
+/// the ends of its requests to another keeper. If the requests stayed here,
+/// they would occupy their slots until they are forgotten, and others would
+/// wait past their deadlines although engines are idle.
+void KeeperService::takePlaces(const VmId &Ingress, GoneEntry &Gone) {
   Gone.HoldsPlaces_ = false;
   for (auto &[Cell, Target] : Cells_)
-    for (RunningRequest &Request : drop(*Target, Entry))
+    for (RunningRequest &Request : drop(*Target, Ingress))
       Gone.Ran_.push_back({Cell, std::move(Request)});
 }
 
@@ -140,9 +144,10 @@
   Target.Scheduler_.configure(std::move(Servers), std::move(Shares), TierCount,
                               Whole->MaxWaiting_);
   Target.Scheduler_.setTokensPerEvent(Whole->TokensPerEvent_);
-  // The few daemons that are cut off from most others use their part of the
-  // engines; held back by as much, the others would leave it unused for as long
-  // as the cut lasts. What both grant too much waits in the engines.
+  // A minority partition uses only its share of the engines. A majority
+  // partition uses all of them: if it scaled down as well, the minority's share
+  // would be idle while the partition lasts. Requests granted in excess by both
+  // wait in the engines.
   double Share = Hooks_.LiveShare_();
   constexpr double Half = 0.5;
   Target.Scheduler_.setShare(Share > Half ? 1.0 : Share);
@@ -189,44 +194,45 @@
 }
 
 double KeeperService::mostCells(const ServiceConfiguration &Service) {
-  std::uint32_t Most = 1;
+  std::uint32_t Max = 1;
   for (const Pool &Known : Service.Pools_)
-    Most = std::max(Most, cellCount(Known));
-  return Most;
+    Max = std::max(Max, cellCount(Known));
+  return Max;
 }
 
-/// A cell's keeper is the same for all pools, and to find it takes a look at
-/// all members: it is asked for once for each index.
+/// The keeper of a cell index is the same for all pools, and finding it looks
+/// at all members, so it is determined once per index.
 void KeeperService::refreshService(const ServiceName &Name,
                                    const ServiceConfiguration &Service) {
   if (Service.Pools_.empty())
     return;
   const PoolName &AnyPool = Service.Pools_.front().Name_;
   auto Count = static_cast<std::uint32_t>(mostCells(Service));
-  std::vector<std::uint32_t> Kept;
+  std::vector<std::uint32_t> Scheduled;
   for (std::uint32_t Index = 0; Index < Count; ++Index)
     if (Hooks_.IsKeeper_({Name, AnyPool, Index}))
-      Kept.push_back(Index);
-  KeptParts_[Name] = static_cast<double>(Kept.size()) / Count;
+      Scheduled.push_back(Index);
+  KeptParts_[Name] = static_cast<double>(Scheduled.size()) / Count;
   for (const Pool &Whole : Service.Pools_)
-    for (std::uint32_t Index : Kept)
+    for (std::uint32_t Index : Scheduled)
       if (Index < cellCount(Whole))
         kept({Name, Whole.Name_, Index});
 }
 
-/// The keepers of a pool's cells know nothing of each other's counts: each
-/// gives out as much of an allotment as it has of the cells. One cell's part
-/// for a keeper of two would leave the rest unused. A daemon that is asked
-/// without being a keeper stands in for one that may be counting as well: it
-/// gives out half of a cell's part.
+/// Returns the fraction of an allotment that this daemon may grant. The keepers
+/// of a pool's cells don't know each other's counts, so each grants the
+/// fraction that corresponds to its fraction of the cells; if a keeper of two
+/// cells granted only one cell's share, the rest would be unused. A daemon that
+/// gets grant requests without being a keeper stands in for a keeper that may
+/// be granting as well, so it grants half of one cell's share.
 double
 KeeperService::allotmentShare(const ServiceConfiguration &Service) const {
-  constexpr double StandInPart = 0.5;
+  constexpr double StandInFraction = 0.5;
   auto Found = KeptParts_.find(Service.Document_->Service_);
-  double Kept = Found == KeptParts_.end() ? 0 : Found->second;
-  if (Kept == 0)
-    Kept = StandInPart / mostCells(Service);
-  return Hooks_.LiveShare_() * Kept;
+  double Fraction = Found == KeptParts_.end() ? 0 : Found->second;
+  if (Fraction == 0)
+    Fraction = StandInFraction / mostCells(Service);
+  return Hooks_.LiveShare_() * Fraction;
 }
 
 std::optional<RefuseDecision>
@@ -247,7 +253,7 @@
   double Share = allotmentShare(*Service);
   if (Allotments_.take(Charge, Allowed, Share, steady_clock::now()))
     return std::nullopt;
-  auto RetryAfter = std::max(LeastAllotmentRetryAfter,
+  auto RetryAfter = std::max(MinAllotmentRetryAfter,
                              Allotments_.fitsIn(Charge, Allowed, Share));
   return RefuseDecision{Request.Id_, ResultCode::AllotmentSpent, RetryAfter,
                         Request.Entry_};
@@ -265,21 +271,21 @@
 }
 
 void KeeperService::firstToken(const CellId &Cell, const RequestId &Id,
-                               const FirstTokenSample &Seen) {
-  kept(Cell).Scheduler_.firstToken(Id, Seen);
+                               const FirstTokenSample &Sample) {
+  kept(Cell).Scheduler_.firstToken(Id, Sample);
 }
 
 void KeeperService::done(const CellId &Cell, const RequestId &Id,
-                         const ServedSample &Seen) {
+                         const ServedSample &Sample) {
   KeptCell &Target = kept(Cell);
   auto Ended = Target.Scheduler_.findRunning(Id);
   ServerModel *Server =
       Ended ? Target.Scheduler_.server(Ended->Server_) : nullptr;
   bool WasLeftOut = Server && Server->health().leftOut(steady_clock::now());
-  Target.Scheduler_.done(Id, Seen, steady_clock::now());
+  Target.Scheduler_.done(Id, Sample, steady_clock::now());
   if (Server)
     logHealth(Cell, Ended->Server_, Server->health(), WasLeftOut);
-  if (Server && Seen.Replaced_)
+  if (Server && Sample.Replaced_)
     logEvent(LogCategory::Keeper, spdlog::level::info, "server-replaced",
              {{"server", Ended->Server_.str()}, {"cell", Cell.str()}});
   decide(Cell, Target);
@@ -292,20 +298,22 @@
   }
 }
 
-/// A round of decisions looks at all engines and at the heads of all queues. On
-/// a slow VM, or with long queues, a round for each message would take all of
-/// the processor, and messages would wait for seconds: then several are
-/// answered by one round.
+/// Runs a scheduling round, unless the pause after the last one has not ended.
+/// A round looks at all engines and at the heads of all queues. On a slow VM,
+/// or with long queues, a round per message would use all processor time, and
+/// messages would wait for seconds; batching answers several messages in one
+/// round.
 void KeeperService::decide(const CellId &Cell, KeptCell &Target) {
   auto Now = steady_clock::now();
   if (Now < Target.NextRound_)
     return schedule();
   decideNow(Cell, Target);
   auto Ended = steady_clock::now();
-  // A process that was not let run for a while has not been busy.
+  // The pause is limited, because a process that was suspended during the round
+  // was not busy.
   Target.NextRound_ =
       Ended + std::min<TimePoint::duration>(
-                  Options_.RoundPause_ * (Ended - Now), LongestRoundPause);
+                  Options_.RoundPause_ * (Ended - Now), MaxRoundPause);
 }
 
 void KeeperService::decideNow(const CellId &Cell, KeptCell &Target) {
@@ -317,7 +325,8 @@
     Notices_.push(RaisedFloor());
 }
 
-/// Why a request was refused is known here; its entry knows only the code.
+/// Logs a refusal with the state of the cell. The reason is known only here;
+/// the ingress daemon gets only the code.
 void KeeperService::logRefusal(const CellId &Cell,
                                const RefuseDecision &Refusal) {
   auto Dropped =
@@ -355,81 +364,84 @@
 
 void KeeperService::announce(const CellId &Cell,
                              std::vector<Decision> Decisions) {
-  for (Decision &Taken : Decisions) {
-    if (const auto *Refusal = std::get_if<RefuseDecision>(&Taken)) {
+  for (Decision &Made : Decisions) {
+    if (const auto *Refusal = std::get_if<RefuseDecision>(&Made)) {
       Allotments_.giveBack(Refusal->Id_);
       logRefusal(Cell, *Refusal);
     }
-    Notices_.push(CellDecision{Cell, std::move(Taken)});
+    Notices_.push(CellDecision{Cell, std::move(Made)});
   }
 }
 
-void KeeperService::tell(const Notice &Next) {
-  if (const auto *Decided = std::get_if<CellDecision>(&Next))
-    tellDecision(*Decided);
-  else if (const auto *Orphan = std::get_if<OrphanedRequest>(&Next))
+void KeeperService::tell(const Notice &Event) {
+  if (const auto *Made = std::get_if<CellDecision>(&Event))
+    tellDecision(*Made);
+  else if (const auto *Orphan = std::get_if<OrphanedRequest>(&Event))
     Hooks_.Orphaned_(*Orphan);
   else
     Hooks_.FloorRaised_();
 }
 
-void KeeperService::tellDecision(const CellDecision &Decided) {
-  if (const auto *Grant = std::get_if<GrantDecision>(&Decided.Taken_)) {
-    if (!stillStands(Decided.Cell_, *Grant))
+void KeeperService::tellDecision(const CellDecision &Event) {
+  if (const auto *Grant = std::get_if<GrantDecision>(&Event.Taken_)) {
+    if (!stillStands(Event.Cell_, *Grant))
       return Allotments_.giveBack(Grant->Id_);
     Allotments_.used(Grant->Id_);
   }
-  Hooks_.Decided_(Decided.Cell_, Decided.Taken_);
+  Hooks_.Decided_(Event.Cell_, Event.Taken_);
 }
 
-/// A grant may be taken back before it is told: its request was withdrawn, or
-/// its entry came on a new link. Told all the same, the request would run in a
-/// place that may be another one's by now.
+/// Returns whether the grant is still valid when it is to be delivered. It may
+/// have been revoked since the decision, because its request was withdrawn or
+/// its ingress daemon reconnected. If it were delivered anyway, the request
+/// would run in a slot that may have been granted to another request.
 bool KeeperService::stillStands(const CellId &Cell,
                                 const GrantDecision &Grant) const {
   const Scheduler *Deciding = scheduler(Cell);
   if (!Deciding)
-    return true; // A cell that was dropped meanwhile took nothing back.
+    return true; // The cell was dropped, which revokes no grants.
   auto Running = Deciding->findRunning(Grant.Id_);
   return Running && Running->Server_ == Grant.Server_ &&
          Running->Entry_ == Grant.Entry_;
 }
 
-/// What waits for it can't be granted any more: the grant would go nowhere, and
-/// the place stay taken. The entry asks the next keeper for it.
-void KeeperService::entryGone(const VmId &Entry) {
-  GoneEntries_[Entry] = {steady_clock::now(), true, {}};
+/// Removes the waiting requests of an ingress daemon whose link broke: a grant
+/// could not be delivered, and its slot would stay occupied. The ingress daemon
+/// requests the grant from the next keeper.
+void KeeperService::entryGone(const VmId &Ingress) {
+  GoneEntries_[Ingress] = {steady_clock::now(), true, {}};
   for (auto &[Cell, Target] : Cells_)
-    for (const RequestId &Id : Target->Scheduler_.removeWaiting(Entry))
+    for (const RequestId &Id : Target->Scheduler_.removeWaiting(Ingress))
       Allotments_.giveBack(Id);
 }
 
-/// While its earlier link was broken the entry told another keeper what ended.
-/// Kept, those requests would hold their places for ever, and new ones be
-/// refused although the engines are idle. The entry says on its new link what
-/// waits and runs by now.
-void KeeperService::entryBack(const VmId &Entry) {
-  GoneEntries_.erase(Entry);
+/// Removes all requests of an ingress daemon that reconnected. While its
+/// previous link was broken, it reported the ends of its requests to another
+/// keeper. If the requests stayed here, they would occupy their slots forever,
+/// and new requests would be refused although engines are idle. The ingress
+/// daemon reports on its new link what waits and runs now.
+void KeeperService::entryBack(const VmId &Ingress) {
+  GoneEntries_.erase(Ingress);
   for (auto &[Cell, Target] : Cells_) {
-    drop(*Target, Entry);
+    drop(*Target, Ingress);
     decide(Cell, *Target);
   }
 }
 
 std::vector<RunningRequest> KeeperService::drop(KeptCell &Target,
-                                                const VmId &Entry) {
-  EntryRemains Left = Target.Scheduler_.removeEntry(Entry);
+                                                const VmId &Ingress) {
+  EntryRemains Left = Target.Scheduler_.removeEntry(Ingress);
   for (const RequestId &Id : Left.Waiting_)
     Allotments_.giveBack(Id);
   return std::move(Left.Running_);
 }
 
-void KeeperService::entryDead(const VmId &Entry) {
-  if (auto Gone = GoneEntries_.extract(Entry))
+void KeeperService::entryDead(const VmId &Ingress) {
+  if (auto Gone = GoneEntries_.extract(Ingress))
     for (OrphanedRequest &Orphan : Gone.mapped().Ran_)
       Notices_.push(std::move(Orphan));
   for (auto &[Cell, Target] : Cells_) {
-    for (RunningRequest &Request : drop(*Target, Entry))
+    for (RunningRequest &Request : drop(*Target, Ingress))
       Notices_.push(OrphanedRequest{Cell, std::move(Request)});
     decide(Cell, *Target);
   }
@@ -455,11 +467,11 @@
 }
 
 void KeeperService::engineReport(const CellId &Cell, const ServerName &Server,
-                                 bool Healthy, const LoadReport &Seen) {
+                                 bool Healthy, const LoadReport &Load) {
   auto Found = Cells_.find(Cell);
   if (Found == Cells_.end())
     return;
-  Found->second->Scheduler_.report(Server, Healthy, Seen);
+  Found->second->Scheduler_.report(Server, Healthy, Load);
 }
 
 void KeeperService::cacheEvicted(const CellId &Cell, const ServerName &Server,
--- a/Source/Process/Keeping/KeeperService.h
+++ b/Source/Process/Keeping/KeeperService.h
@@ -1,8 +1,8 @@
 #pragma once
 /// \file
-/// The cells that this daemon keeps: a scheduler each, fed by the asks of all
-/// entries. State is soft: a new keeper gets it again from the entries. Runs
-/// on the control thread.
+/// The cells that this daemon schedules: one scheduler per cell, which serves
+/// the grant requests of all ingress daemons. The state is soft: a new keeper
+/// rebuilds it from the ingress daemons. Runs on the control thread.
 
 #include "Common/Log.h"
 #include "Process/Keeping/Cell.h"
@@ -22,7 +22,7 @@
 
 namespace samphireshunt {
 
-/// A running request whose entry died.
+/// A running request whose ingress daemon died.
 struct OrphanedRequest {
   CellId Cell_;
   RunningRequest Request_;
@@ -31,73 +31,82 @@
 class KeeperService {
 public:
   struct Options {
-    /// How long a new keeper listens before it grants: entries tell it what
-    /// runs, so that engines are not filled twice.
+    /// How long a new keeper waits before its first grants, so that ingress
+    /// daemons can report what runs. Otherwise engines would be loaded beyond
+    /// their limits.
     std::chrono::milliseconds WarmUp_{300};
     std::chrono::milliseconds Tick_{10};
-    /// The tick while nothing waits.
+    /// The interval of the tick while no requests wait.
     std::chrono::milliseconds IdleTick_{1000};
-    /// After a round of decisions, messages are gathered for this many times as
-    /// long as it took: rounds take a fifth of the time at the most. 0: each
-    /// message is answered by a round of its own.
+    /// After a scheduling round, messages are batched for this many times as
+    /// long as the round took, so that rounds take a fifth of the time at most.
+    /// With 0, each message triggers its own round.
     int RoundPause_ = 4;
-    /// How long the running requests of an entry whose link broke hold their
-    /// places. An entry that has something here asks again after the two
-    /// seconds for which it passes over a keeper, on a new link, and says what
-    /// runs; one that does not has told another keeper what ended.
+    /// How long the running requests of an ingress daemon whose link broke keep
+    /// their slots. An ingress daemon that still has requests here avoids the
+    /// keeper for two seconds, then reconnects and reports what runs; one that
+    /// does not has reported the ends of its requests to another keeper.
     std::chrono::milliseconds PlaceGrace_{3000};
-    /// How long those requests are remembered. Longer than the entry's death
-    /// takes to be known: forgotten before, its orphans would never be
-    /// cancelled.
+    /// How long those requests are remembered afterwards. This must be longer
+    /// than the detection of the ingress daemon's death takes; otherwise its
+    /// orphans would never be cancelled.
     std::chrono::milliseconds EntryGrace_{10000};
-    /// Requests beyond an engine's limit that wait in the engine, so that a
-    /// place that gets free is not empty until this keeper has heard of it.
+    /// Requests granted beyond an engine's limit, which queue in the engine, so
+    /// that a freed slot does not stay empty until this keeper learns of it.
     std::uint32_t AheadPerServer_ = 0;
     Scheduler::Options Scheduling_;
     AllotmentLedger::Options Allotments_;
-    /// Lower tiers leave room in allotments for large requests of the highest.
+    /// Whether lower tiers leave headroom in allotments for large requests of
+    /// the highest tier.
     bool KeepRoom_ = true;
   };
-  /// The first three are called in turns of their own, in the order of what
-  /// they tell, never on the stack of a call to this service.
+  /// The first three hooks are called in event-loop iterations of their own, in
+  /// the order of the events they report, never on the stack of a call to this
+  /// service.
   struct Hooks {
     std::function<void(const CellId &, const Decision &)> Decided_;
     std::function<void(const OrphanedRequest &)> Orphaned_;
-    /// A cell of a pool raised its floor: others must hear of it.
+    /// A cell of a pool raised its admission floor, which must be announced to
+    /// others.
     std::function<void()> FloorRaised_;
     std::function<bool()> AloneInFleet_;
-    /// True when this daemon should keep the cell.
+    /// Returns true if this daemon should schedule the cell.
     std::function<bool(const CellId &)> IsKeeper_;
-    /// The part of the fleet that this daemon speaks for.
+    /// Returns the fraction of the fleet in this daemon's partition.
     std::function<double()> LiveShare_;
   };
 
   KeeperService(boost::asio::io_context &Control, DocumentStore &Documents,
-                Options Settings, Hooks Reactions);
+                Options Settings, Hooks Callbacks);
 
   void ask(const CellId &Cell, AskedRequest Request);
   void withdraw(const CellId &Cell, const RequestId &Id);
   void running(const CellId &Cell, RunningRequest Request);
   void firstToken(const CellId &Cell, const RequestId &Id,
-                  const FirstTokenSample &Seen);
-  void done(const CellId &Cell, const RequestId &Id, const ServedSample &Seen);
-  /// A grant was not used, and the entry no longer knows its cell.
+                  const FirstTokenSample &Sample);
+  void done(const CellId &Cell, const RequestId &Id,
+            const ServedSample &Sample);
+  /// Releases a grant that was not used and whose cell the ingress daemon no
+  /// longer knows.
   void handBack(const RequestId &Id);
-  /// The link of an entry broke: it will ask again, here or elsewhere.
-  void entryGone(const VmId &Entry);
-  /// The entry opened a new link, on which it says all that it has here.
-  void entryBack(const VmId &Entry);
-  /// The entry is dead: its running requests are orphans.
-  void entryDead(const VmId &Entry);
-  /// Documents or members changed: starts and drops cells.
+  /// Called when the link of an ingress daemon broke. It will request its
+  /// grants again, here or at another keeper.
+  void entryGone(const VmId &Ingress);
+  /// Called when the ingress daemon opened a new link, on which it reports all
+  /// its requests here.
+  void entryBack(const VmId &Ingress);
+  /// Called when the ingress daemon died. Its running requests become orphans.
+  void entryDead(const VmId &Ingress);
+  /// Starts and drops cells. Called when documents or members changed.
   void refresh();
   void stop() { Timer_.cancel(); }
 
   std::vector<PoolFloor> floors() const;
   void floorSeen(const PoolFloor &Floor);
   void engineReport(const CellId &Cell, const ServerName &Server, bool Healthy,
-                    const LoadReport &Seen);
-  /// Blocks that an engine evicted or, with \p All, its whole cache.
+                    const LoadReport &Load);
+  /// Applies the eviction of blocks by an engine or, with \p All, of its whole
+  /// cache.
   void cacheEvicted(const CellId &Cell, const ServerName &Server,
                     std::span<const std::uint64_t> Blocks, bool All);
   std::vector<CellId> cells() const;
@@ -109,38 +118,39 @@
     Decision Taken_;
   };
   struct RaisedFloor {};
-  /// What others are to be told.
+  /// An event to be delivered to a hook.
   using Notice = std::variant<CellDecision, OrphanedRequest, RaisedFloor>;
   struct KeptCell {
     Scheduler Scheduler_;
     TimePoint Since_;
     TimePoint LastUsed_;
-    /// Before this no round of decisions begins.
+    /// No scheduling round begins before this time.
     TimePoint NextRound_{};
   };
 
-  /// An entry whose link broke.
+  /// An ingress daemon whose link broke.
   struct GoneEntry {
     TimePoint Since_;
     bool HoldsPlaces_ = true;
-    /// What ran for it when its places were taken.
+    /// Its running requests when their slots were released.
     std::vector<OrphanedRequest> Ran_;
   };
 
   KeptCell &kept(const CellId &Cell);
-  /// False while this daemon has no configuration with the cell's pool.
+  /// Returns false while this daemon has no configuration with the cell's pool.
   bool knows(const CellId &Cell) const;
-  /// Forgets the entry's requests. \returns those that ran.
-  std::vector<RunningRequest> drop(KeptCell &Target, const VmId &Entry);
+  /// Removes the ingress daemon's requests.
+  /// \returns those that were running.
+  std::vector<RunningRequest> drop(KeptCell &Target, const VmId &Ingress);
   void checkGoneEntries();
-  void takePlaces(const VmId &Entry, GoneEntry &Gone);
+  void takePlaces(const VmId &Ingress, GoneEntry &Gone);
   void logRefusal(const CellId &Cell, const RefuseDecision &Refusal);
   void logHealth(const CellId &Cell, const ServerName &Server,
                  const ServerHealth &Health, bool WasLeftOut);
-  /// The most cells that a pool of the service has.
+  /// Returns the largest number of cells of any pool of the service.
   static double mostCells(const ServiceConfiguration &Service);
-  /// Starts the service's cells that this daemon keeps, and notes which part
-  /// of all they are.
+  /// Starts the service's cells that this daemon schedules, and records their
+  /// fraction of all its cells.
   void refreshService(const ServiceName &Name,
                       const ServiceConfiguration &Service);
   double allotmentShare(const ServiceConfiguration &Service) const;
@@ -150,8 +160,8 @@
   void decide(const CellId &Cell, KeptCell &Target);
   void decideNow(const CellId &Cell, KeptCell &Target);
   void announce(const CellId &Cell, std::vector<Decision> Decisions);
-  void tell(const Notice &Next);
-  void tellDecision(const CellDecision &Decided);
+  void tell(const Notice &Event);
+  void tellDecision(const CellDecision &Event);
   bool stillStands(const CellId &Cell, const GrantDecision &Grant) const;
   void schedule();
   void onTick();
--- a/Tools/mutations.sh
+++ b/Tools/mutations.sh
@@ -153,7 +153,7 @@
   's/return \(Known - static_cast<double>\(Dead\)\) \/ Known;/return Dead > 100 ? Known : 1.0;/' \
   ${F}PartitionTest '*all cut off*'
 mutate waiting-of-gone $S/Process/Keeping/KeeperService.cpp \
-  's/    for \(const RequestId &Id : Target->Scheduler_\.removeWaiting\(Entry\)\)\n\s*Allotments_\.giveBack\(Id\);/    (void)Target;/' \
+  's/    for \(const RequestId &Id : Target->Scheduler_\.removeWaiting\(Ingress\)\)\n\s*Allotments_\.giveBack\(Id\);/    (void)Target;/' \
   UnitTests/UnitTests_Process '*whose link broke gets no place*'
 mutate places-of-gone $S/Process/Keeping/KeeperService.cpp \
   's/  Gone\.HoldsPlaces_ = false;\n/$&  return;\n/' \
@@ -188,10 +188,10 @@
   's/return State_\.compare_exchange_strong\(Expected, Next\);/if (State_.load() != Expected) return false; State_.store(Next); return true;/' \
   ${U}Request '*in one instant*'
 mutate posted-decisions $S/Process/Keeping/KeeperService.cpp \
-  's/Notices_\.push\(CellDecision\{Cell, std::move\(Taken\)\}\);/tell(CellDecision{Cell, std::move(Taken)});/' \
+  's/Notices_\.push\(CellDecision\{Cell, std::move\(Made\)\}\);/tell(CellDecision{Cell, std::move(Made)});/' \
   ${U}Process '*after the call that makes them*'
 mutate taken-back-grant $S/Process/Keeping/KeeperService.cpp \
-  's/if \(!stillStands\(Decided\.Cell_, \*Grant\)\)/if (false)/' \
+  's/if \(!stillStands\(Event\.Cell_, \*Grant\)\)/if (false)/' \
   ${U}Process '*taken back before it is told is not told*'
 mutate taken-back-allotment $S/Process/Keeping/KeeperService.cpp \
   's/return Allotments_\.giveBack\(Grant->Id_\);/return;/' \
