--- a/Source/Process/Membership/LocalHealth.h
+++ b/Source/Process/Membership/LocalHealth.h
@@ -1,14 +1,14 @@
 #pragma once
 /// \file
-/// How far this daemon may trust its own judgement of others, after Lifeguard
-/// (A. Dadgar, J. Phillips, J. Currey). Pure.
+/// Estimates how far this daemon may trust its own failure detection, after
+/// Lifeguard (A. Dadgar, J. Phillips, J. Currey). Does no I/O.
 ///
-/// What goes wrong: a VM without processor time, or behind a full link, reads
-/// answers late. It takes one sound daemon after the other for dead and tells
-/// the whole fleet so; keepers change, and their requests move. One notices by
-/// `suspect` lines that name many members and come from one daemon. A daemon
-/// whose probes fail one after the other is more likely the one that is slow:
-/// it waits longer before it accuses the next.
+/// A VM without processor time, or behind a saturated link, reads answers late.
+/// Without this estimate it would declare one healthy daemon after the other
+/// dead to the whole fleet; keepers would change, and their requests would
+/// move. The log then shows `suspect` lines for many members, all from one
+/// daemon. A daemon whose probes fail one after the other is more likely slow
+/// itself, so it waits longer before it suspects the next member.
 
 #include <algorithm>
 #include <chrono>
@@ -18,22 +18,22 @@
 
 class LocalHealth {
 public:
-  /// An answer came in time.
+  /// Records an answer in time.
   void good() { Score_ -= Score_ > 0 ? 1 : 0; }
-  /// No answer came, this process came late to its own timers, or others took
-  /// it for suspect.
-  void bad() { Score_ = std::min(Score_ + 1, MostScore); }
+  /// Records a missing answer, a late timer of this process, or that other
+  /// members suspect this daemon.
+  void bad() { Score_ = std::min(Score_ + 1, MaxScore); }
 
-  /// 0 is healthy.
+  /// Returns the score; 0 is healthy.
   std::uint32_t score() const { return Score_; }
-  /// \p Time as long as this daemon should wait for others.
+  /// Returns \p Time, prolonged by the score, as the time to wait for others.
   std::chrono::milliseconds scaled(std::chrono::milliseconds Time) const {
     return Time * (1 + Score_);
   }
 
 private:
-  /// Bounds how late the death of a member is noticed after many others died.
-  static constexpr std::uint32_t MostScore = 4;
+  /// Bounds the delay until a death is detected after many other members died.
+  static constexpr std::uint32_t MaxScore = 4;
 
   std::uint32_t Score_ = 0;
 };
--- a/Source/Process/Membership/MemberLog.cpp
+++ b/Source/Process/Membership/MemberLog.cpp
@@ -9,14 +9,14 @@
 namespace samphireshunt {
 
 namespace {
-constexpr std::chrono::milliseconds GatherTime{250};
+constexpr std::chrono::milliseconds BatchTime{250};
 } // namespace
 
 void MemberLog::changed(const Member &Changed) {
   Changes_[Changed.Status_].push_back(Changed.Id_.str());
   if (std::exchange(Scheduled_, true))
     return;
-  Timer_.expires_after(GatherTime);
+  Timer_.expires_after(BatchTime);
   Timer_.async_wait([this](const boost::system::error_code &Error) {
     Scheduled_ = false;
     if (!Error)
--- a/Source/Process/Membership/MemberLog.h
+++ b/Source/Process/Membership/MemberLog.h
@@ -1,9 +1,8 @@
 #pragma once
 /// \file
-/// Tells in the log what this daemon believes of others, many changes in one
-/// line. A line for each change of each member would be most of what a fleet of
-/// hundreds writes, just when something goes wrong and others matter. Runs on
-/// the control thread.
+/// Logs status changes of other members, many in one line. With a line per
+/// change, these would be most of the log of a fleet of hundreds, just when
+/// something fails and other lines matter. Runs on the control thread.
 
 #include "Process/Membership/MemberTable.h"
 
@@ -20,7 +19,7 @@
 public:
   explicit MemberLog(boost::asio::io_context &Control) : Timer_(Control) {}
 
-  /// Written at the latest a quarter of a second from now, with those that come
+  /// Logs the change within a quarter of a second, together with all changes
   /// until then.
   void changed(const Member &Changed);
   void stop() { Timer_.cancel(); }
--- a/Source/Process/Membership/MemberTable.cpp
+++ b/Source/Process/Membership/MemberTable.cpp
@@ -12,18 +12,20 @@
 
 namespace {
 
-/// Each update rides on this many messages for each doubling of the fleet. All
-/// daemons that have heard of it pass it on, so that one doubling each reaches
-/// everyone; what was lost comes with the members at random.
+/// Each update is sent in this many messages per doubling of the fleet. All
+/// daemons that received it pass it on, so one per doubling from each reaches
+/// everyone. Updates that were lost are covered by the random members in
+/// messages.
 constexpr std::uint32_t TransmissionsPerDoubling = 1;
 
-/// Daemons that probe a suspect in each period, on average.
+/// The average number of daemons that probe a suspect in each period.
 constexpr double SuspectProbers = 6;
-/// Bounds what one daemon sends when many are suspect at once.
-constexpr std::size_t MostSuspectProbes = 4;
+/// Bounds what one daemon sends when many members are suspect at once.
+constexpr std::size_t MaxSuspectProbes = 4;
 
-/// Bounds what a daemon sends after a partition to all whom it holds dead.
-constexpr std::size_t MostDeadProbes = 6;
+/// Bounds what a daemon sends after a partition to the members it considers
+/// dead.
+constexpr std::size_t MaxDeadProbes = 6;
 
 auto precedence(const Member &Update) {
   return std::tuple(Update.Incarnation_, Update.Counter_, Update.Status_);
@@ -54,9 +56,10 @@
   SelfSent_ = 0;
 }
 
-/// A live daemon that others take for suspect or dead would lose its cells
-/// and get its streams cancelled. It learns of that from their gossip, and a
-/// higher counter overrides the claim wherever it has spread.
+/// Refutes a claim that this daemon is suspect or dead. A live daemon
+/// considered dead would lose its cells and its streams would be cancelled. It
+/// learns of the claim by gossip, and its higher counter overrides the claim
+/// everywhere.
 void MemberTable::refute(const Member &Update) {
   bool SameProcess = Update.Incarnation_ == Self_.Incarnation_;
   if (!SameProcess || Update.Status_ < MemberStatus::Suspect ||
@@ -73,8 +76,8 @@
   }
   auto Found = Members_.find(Update.Id_);
   if (Found == Members_.end()) {
-    // News of the death of an unknown member would only be passed on in
-    // circles after everyone has forgotten it.
+    // The death of an unknown member is ignored: it would circulate forever
+    // after everyone has removed the member.
     if (Update.Status_ == MemberStatus::Dead)
       return false;
     Found = Members_.emplace(Update.Id_, Entry{Update, Now, 0}).first;
@@ -133,10 +136,11 @@
   });
 }
 
-void MemberTable::extendSuspicions(std::chrono::steady_clock::duration Time) {
+void MemberTable::extendSuspicions(
+    std::chrono::steady_clock::duration Duration) {
   for (auto &[Id, Known] : Members_)
     if (Known.Member_.Status_ == MemberStatus::Suspect)
-      Known.Since_ += Time;
+      Known.Since_ += Duration;
 }
 
 void MemberTable::forgetDead(
@@ -158,20 +162,20 @@
     }
     VmId Id = ProbeRound_.back();
     ProbeRound_.pop_back();
-    // The dead are probed too: when a partition heals, nobody else would
-    // tell either side that the other one lives.
+    // Dead members are probed too: when a partition heals, nobody else would
+    // inform either side that the other one is alive.
     if (auto Found = find(Id))
       return Found;
   }
 }
 
-/// A partition that heals leaves hundreds whom each side holds dead. Probed one
-/// each period, the last would be back after minutes, and until then its cells
-/// have two keepers.
+/// When a partition heals, each side considers hundreds of members dead. If one
+/// were probed per period, the last would return after minutes, and until then
+/// its cells would have two keepers.
 std::vector<Member> MemberTable::deadToProbe(TimePoint Now) {
   if (!LastReturn_ || Now - *LastReturn_ > Options_.NewsTime_)
     return {};
-  return sample(MostDeadProbes, [](const Member &Candidate) {
+  return sample(MaxDeadProbes, [](const Member &Candidate) {
     return Candidate.Status_ == MemberStatus::Dead;
   });
 }
@@ -184,33 +188,33 @@
   });
 }
 
-/// A suspect hears of it by gossip only after some periods; the probe tells it
-/// at once, and its ack refutes. Probed by all who have heard of it, a VM that
-/// was busy for a moment would get hundreds of probes a second, and be busy
-/// with them until it is taken for dead.
+/// A suspect learns of the suspicion by gossip only after some periods; the
+/// probe informs it at once, and its ack refutes it. If all who know of the
+/// suspicion probed it, a VM that was busy for a moment would get hundreds of
+/// probes per second, and be overloaded by them until it is declared dead.
 std::vector<Member> MemberTable::suspectsToProbe() {
   double Chance = SuspectProbers / static_cast<double>(Members_.size() + 1);
   std::bernoulli_distribution IsChosen(std::min(1.0, Chance));
-  return sample(MostSuspectProbes, [&](const Member &Candidate) {
+  return sample(MaxSuspectProbes, [&](const Member &Candidate) {
     return Candidate.Status_ == MemberStatus::Suspect && IsChosen(Random_);
   });
 }
 
 std::vector<Member>
 MemberTable::sample(std::size_t Count,
-                    const std::function<bool(const Member &)> &Wanted) {
-  // Members are copied only once they are chosen: this is done for each message
-  // that is sent, and a fleet of hundreds has as many candidates.
+                    const std::function<bool(const Member &)> &Matches) {
+  // Members are copied only after they are chosen: this runs for each message
+  // sent, and a fleet of hundreds has as many candidates.
   std::vector<const Member *> Candidates;
   for (const auto &[Id, Known] : Members_)
-    if (Wanted(Known.Member_))
+    if (Matches(Known.Member_))
       Candidates.push_back(&Known.Member_);
   std::vector<const Member *> Chosen;
   std::ranges::sample(Candidates, std::back_inserter(Chosen),
                       static_cast<std::ptrdiff_t>(Count), Random_);
   std::vector<Member> Copies;
   std::ranges::transform(Chosen, std::back_inserter(Copies),
-                         [](const Member *Each) { return *Each; });
+                         [](const Member *Found) { return *Found; });
   return Copies;
 }
 
@@ -220,26 +224,26 @@
 }
 
 std::vector<Member> MemberTable::piggyback(std::size_t Count, TimePoint Now) {
-  std::vector<Entry *> Fresh;
+  std::vector<Entry *> Pending;
   for (auto &[Id, Known] : Members_)
     if (Known.Sent_ < maxTransmissions())
-      Fresh.push_back(&Known);
-  // What all have heard by now, as of all members after the fleet's start,
-  // comes last. Among hundreds of these a death would wait for minutes for its
-  // turn.
+      Pending.push_back(&Known);
+  // Changes that everyone knows by now, such as all members after the start of
+  // the fleet, come last. Queued among hundreds of these, a death would not be
+  // sent for minutes.
   auto Order = [&](const Entry *Known) {
     return std::pair(!isNews(*Known, Now), Known->Sent_);
   };
-  std::size_t Taken = std::min(Count, Fresh.size());
+  std::size_t Used = std::min(Count, Pending.size());
   std::ranges::partial_sort(
-      Fresh, Fresh.begin() + static_cast<std::ptrdiff_t>(Taken), {}, Order);
+      Pending, Pending.begin() + static_cast<std::ptrdiff_t>(Used), {}, Order);
   std::vector<Member> Updates;
-  for (Entry *Known : std::span(Fresh).first(Taken)) {
+  for (Entry *Known : std::span(Pending).first(Used)) {
     ++Known->Sent_;
     Updates.push_back(Known->Member_);
   }
-  // Room that is left carries members at random: a daemon that missed an
-  // update, or joined late, still learns of everyone in time.
+  // The remaining space carries random members: a daemon that missed an update,
+  // or joined late, still learns of everyone eventually.
   if (Updates.size() < Count)
     std::ranges::copy(randomMembers(Count - Updates.size(), VmId()),
                       std::back_inserter(Updates));
@@ -254,9 +258,10 @@
       }));
 }
 
-/// A member that was not known before tells of itself to all that it finds in
-/// the platform's service: passed on, those of a fleet's start would stand
-/// before a death for minutes.
+/// Returns whether the member changed recently. A new member does not count: it
+/// announces itself to all members that it finds in the platform's service. If
+/// new members counted, those of a fleet's start would be sent before a death
+/// for minutes.
 bool MemberTable::isNews(const Entry &Known, TimePoint Now) const {
   return Known.Changed_ && Now - Known.Since_ <= Options_.NewsTime_;
 }
@@ -283,14 +288,14 @@
 }
 
 std::vector<Member> MemberTable::keepers() const {
-  std::vector<Member> Able;
+  std::vector<Member> Candidates;
   if (Self_.Status_ == MemberStatus::Alive)
-    Able.push_back(Self_);
+    Candidates.push_back(Self_);
   for (const auto &[Id, Known] : Members_)
     if (Known.Member_.Status_ == MemberStatus::Alive ||
         Known.Member_.Status_ == MemberStatus::Suspect)
-      Able.push_back(Known.Member_);
-  return Able;
+      Candidates.push_back(Known.Member_);
+  return Candidates;
 }
 
 double MemberTable::liveShare() const {
--- a/Source/Process/Membership/MemberTable.h
+++ b/Source/Process/Membership/MemberTable.h
@@ -1,8 +1,8 @@
 #pragma once
 /// \file
-/// The daemons that this daemon knows, by the rules of SWIM: probes, suspicion
-/// and refutation, with updates piggybacked on the probes. Pure: no sockets,
-/// and the time is an argument.
+/// The daemons known to this daemon, by the rules of SWIM: probes, suspicion
+/// and refutation, with updates piggybacked on the probes. Does no I/O, and the
+/// time is an argument.
 
 #include "Common/Ids.h"
 #include "Common/TimePoint.h"
@@ -22,7 +22,7 @@
 /// In rising order of precedence at an equal incarnation and counter.
 enum class MemberStatus : std::uint8_t { Alive, Leaving, Suspect, Dead };
 
-/// The status as operators see it, e.g. "alive".
+/// Returns the status as operators see it, e.g. "alive".
 std::string_view memberStatusName(MemberStatus Status);
 
 struct Member {
@@ -34,7 +34,7 @@
   std::string Address_;         ///< For peers.
   std::string OperatorAddress_; ///< For operators.
   DataCenterName DataCenter_;
-  /// What its network link carries, in Mbit/s; 0 is unknown.
+  /// The bandwidth of its network link in Mbit/s; 0 if unknown.
   std::uint32_t LinkMbps_ = 0;
 
   bool operator==(const Member &) const = default;
@@ -43,15 +43,15 @@
 class MemberTable {
 public:
   struct Options {
-    /// The least time from a suspicion to a death, and what it is for each
-    /// doubling of the fleet: the larger it is, the longer the way of a
-    /// suspicion to its member, and of the refutation to all others.
+    /// The minimum time from suspicion to death, and the time per doubling of
+    /// the fleet: the larger the fleet, the longer a suspicion takes to reach
+    /// its member, and the refutation to reach all others.
     std::chrono::milliseconds SuspectTime_{1500};
     std::chrono::milliseconds SuspectTimePerDoubling_{500};
-    /// How long a dead member counts as one that may be cut off rather than
-    /// gone, when the platform does not tell.
+    /// How long a dead member counts as possibly partitioned rather than gone,
+    /// if the platform does not report it.
     std::chrono::milliseconds DeadRetention_{60000};
-    /// A change is news for so long: it goes before what changed earlier.
+    /// How long a change is recent: recent changes are sent before older ones.
     std::chrono::milliseconds NewsTime_{10000};
     std::uint64_t Seed_ = 1;
   };
@@ -62,45 +62,53 @@
   const Member &self() const { return Self_; }
   /// Marks this daemon as leaving, with a higher counter.
   void leave();
-  /// Takes in what another daemon says. \returns true when it was news.
+  /// Applies an update from another daemon.
+  /// \returns true if it changed the table.
   bool merge(const Member &Update, TimePoint Now);
-  /// The member gave no sign of life.
+  /// Marks the member as suspect, because it did not answer.
   void suspect(const VmId &Id, TimePoint Now);
-  /// Ends suspicions that were not refuted, and forgets the long dead.
+  /// Declares members dead whose suspicion expired, and removes those that died
+  /// long ago.
   void tick(TimePoint Now);
-  /// Forgets a dead member: the platform says that its VM is gone.
+  /// Removes the dead members that the platform no longer lists, because their
+  /// VMs are gone.
   void forgetDead(const std::function<bool(const VmId &)> &IsListed);
 
-  /// This process was not let run for \p Time: what others sent meanwhile lies
-  /// unread, refutations among it. Suspicions last longer by as much.
-  void extendSuspicions(std::chrono::steady_clock::duration Time);
+  /// Prolongs all suspicions by \p Duration, for which this process was
+  /// suspended: messages that others sent meanwhile, including refutations, are
+  /// still unread.
+  void extendSuspicions(std::chrono::steady_clock::duration Duration);
 
-  /// The next member to probe, each once in a random round.
+  /// Returns the next member to probe. Each round covers every member once, in
+  /// random order.
   std::optional<Member> nextProbe();
-  /// Suspects to probe besides the round: each by a few daemons of the fleet,
-  /// whoever they are this time.
+  /// Returns suspects to probe in addition to the round. Each is probed by a
+  /// few daemons of the fleet, chosen anew each time.
   std::vector<Member> suspectsToProbe();
-  /// Dead members to probe besides the round, while others that were held dead
-  /// turn out to live.
+  /// Returns dead members to probe in addition to the round, while others that
+  /// were considered dead turn out to be alive.
   std::vector<Member> deadToProbe(TimePoint Now);
-  /// Up to \p Count members other than \p Excluded, at random.
+  /// Returns up to \p Count random members other than \p Excluded.
   std::vector<Member> randomMembers(std::size_t Count, const VmId &Excluded);
-  /// Updates for the next message: news first, of these the least often sent.
+  /// Returns the updates for the next message: recent changes first, and of
+  /// these the least often sent.
   std::vector<Member> piggyback(std::size_t Count, TimePoint Now);
-  /// How many members have news that was not sent often enough.
+  /// Returns the number of members with a recent change that was not sent often
+  /// enough.
   std::size_t newsCount(TimePoint Now) const;
 
   std::optional<Member> find(const VmId &Id) const;
   std::optional<MemberStatus> statusOf(const VmId &Id) const;
-  /// Every known member but this one.
+  /// Returns every known member except this one.
   std::vector<Member> others() const;
-  /// Members that may keep cells: alive or suspect, and this daemon unless it
-  /// is leaving.
+  /// Returns the members that may schedule cells: those that are alive or
+  /// suspect, and this daemon unless it is leaving.
   std::vector<Member> keepers() const;
-  /// Live members by all known ones (dead ones that are still listed count):
-  /// the share of the fleet that this daemon can speak for.
+  /// Returns the ratio of live members to all known ones, including dead ones
+  /// that are still listed: the fraction of the fleet in this daemon's
+  /// partition.
   double liveShare() const;
-  /// Called after each change of another member.
+  /// Sets the hook that is called after each change of another member.
   void onChanged(ChangedHook Hook) { Changed_ = std::move(Hook); }
 
 private:
@@ -108,13 +116,13 @@
     Member Member_;
     TimePoint Since_;
     std::uint32_t Sent_ = 0;
-    /// It was known before as something else.
+    /// Whether it was known before with another state.
     bool Changed_ = false;
   };
   bool isNews(const Entry &Known, TimePoint Now) const;
   void refute(const Member &Update);
-  std::vector<Member> sample(std::size_t Count,
-                             const std::function<bool(const Member &)> &Wanted);
+  std::vector<Member>
+  sample(std::size_t Count, const std::function<bool(const Member &)> &Matches);
   void change(Entry &Target, const Member &Update, TimePoint Now);
   std::uint32_t maxTransmissions() const;
   std::chrono::milliseconds suspectTime() const;
@@ -123,7 +131,7 @@
   std::uint32_t SelfSent_ = 0;
   Options Options_;
   std::map<VmId, Entry> Members_;
-  /// When a member that was held dead was last found to live.
+  /// The last time at which a member considered dead turned out to be alive.
   std::optional<TimePoint> LastReturn_;
   std::vector<VmId> ProbeRound_;
   pcg32 Random_;
--- a/Source/Process/Membership/MembershipProtocol.cpp
+++ b/Source/Process/Membership/MembershipProtocol.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-/// How often acks are checked between two periods.
+/// How often pending acks are checked between two periods.
 constexpr milliseconds CheckInterval{50};
-/// A timer that comes so late shows that this process was not let run.
-constexpr milliseconds OwnDelay{50};
-/// Ack timeouts after which a probe has failed: its own, and that of the probes
-/// by way of others, which take two ways more.
-constexpr int TimeoutsOfProbe = 3;
+/// A timer that fires this late shows that this process was suspended.
+constexpr milliseconds SuspendThreshold{50};
+/// The number of ack timeouts after which a probe has failed: one for the
+/// direct probe, and two for the indirect probes, which need two more hops.
+constexpr int AckTimeoutsPerProbe = 3;
 
 std::unique_ptr<wire::MemberT> memberToWire(const Member &Value) {
   auto Target = std::make_unique<wire::MemberT>();
@@ -47,8 +47,8 @@
 } // namespace
 
 MembershipProtocol::MembershipProtocol(MemberTable &Members, Options Settings,
-                                       Hooks Reactions, SendHook Send)
-    : Members_(Members), Options_(Settings), Hooks_(std::move(Reactions)),
+                                       Hooks Callbacks, SendHook Send)
+    : Members_(Members), Options_(Settings), Hooks_(std::move(Callbacks)),
       Send_(std::move(Send)) {}
 
 TimePoint MembershipProtocol::step(TimePoint Now) {
@@ -59,14 +59,15 @@
   return Pending_.empty() ? NextPeriod_ : Now + CheckInterval;
 }
 
-/// After a pause of this process its timers are due before the acks that came
-/// meanwhile are read: without this it takes all that it has asked for dead,
-/// their keepers change, and their requests move.
+/// Prolongs pending probes and suspicions after a pause of this process. Its
+/// timers are then due before the acks that arrived meanwhile are read. Without
+/// this, it would declare all probed members dead, their keepers would change,
+/// and their requests would move.
 void MembershipProtocol::wokeLate(steady_clock::duration Late) {
-  if (Late < OwnDelay)
+  if (Late < SuspendThreshold)
     return;
   Health_.bad();
-  // And one interval more, in which the acks are read.
+  // One more interval is added, in which the acks are read.
   for (auto &[Sequence, Probe] : Pending_)
     Probe.Started_ += Late + CheckInterval;
   Members_.extendSuspicions(Late);
@@ -96,8 +97,8 @@
   wire::ProbeT Probe;
   Probe.sequence = NextSequence_++;
   fill(Probe, Now);
-  // After a partition both sides hold each other dead. Only the member itself
-  // can override that, and it must see the claim to do so.
+  // After a partition, each side considers the other dead. Only the member
+  // itself can override that, and it must receive the claim to do so.
   if (Target && Target->Status_ >= MemberStatus::Suspect)
     Probe.members.push_back(memberToWire(*Target));
   std::uint32_t Sequence = Probe.sequence;
@@ -105,8 +106,9 @@
   return Sequence;
 }
 
-/// One lost datagram, or one broken way between two daemons, must not make a
-/// live daemon suspect: others are asked to probe it before it is.
+/// Checks the pending probes. One lost datagram, or one broken path between two
+/// daemons, must not make a live daemon suspect, so others are asked to probe
+/// it first.
 void MembershipProtocol::checkPending(TimePoint Now) {
   milliseconds Timeout = Health_.scaled(Options_.AckTimeout_);
   for (auto Item = Pending_.begin(); Item != Pending_.end();) {
@@ -115,19 +117,20 @@
     if (Age > Timeout && !Probe.Indirect_) {
       Probe.Indirect_ = true;
       askHelpers(Sequence, Probe.Target_, Now);
-      // However late this is: the helpers get their time.
+      // However late the check is, the indirect probes get their full time.
       Probe.Started_ = Now - Timeout;
       ++Item;
       continue;
     }
-    if (Age <= TimeoutsOfProbe * Timeout) {
+    if (Age <= AckTimeoutsPerProbe * Timeout) {
       ++Item;
       continue;
     }
     bool ForOther = Probe.RequesterSequence_ != 0;
-    // That the dead don't answer says nothing of this daemon.
-    bool WasDead = Members_.statusOf(Probe.Target_) == MemberStatus::Dead;
-    if (!ForOther && !WasDead) {
+    // A dead member that does not answer says nothing about the health of this
+    // daemon.
+    bool AlreadyDead = Members_.statusOf(Probe.Target_) == MemberStatus::Dead;
+    if (!ForOther && !AlreadyDead) {
       Members_.suspect(Probe.Target_, Now);
       Health_.bad();
     }
@@ -163,18 +166,18 @@
 }
 
 template <class Message>
-void MembershipProtocol::learn(const Message &Heard, TimePoint Now) {
-  if (!Heard.sender)
+void MembershipProtocol::learn(const Message &Received, TimePoint Now) {
+  if (!Received.sender)
     return;
-  Member Sender = memberFromWire(*Heard.sender);
+  Member Sender = memberFromWire(*Received.sender);
   bool FromSelf = Sender.Id_ == Members_.self().Id_;
   Members_.merge(Sender, Now);
   HeardFromPeer_ = HeardFromPeer_ || !FromSelf;
-  for (const auto &Update : Heard.members)
+  for (const auto &Update : Received.members)
     Members_.merge(memberFromWire(*Update), Now);
-  for (const auto &Version : Heard.versions)
+  for (const auto &Version : Received.versions)
     Hooks_.VersionSeen_(Sender.Id_, *Version);
-  for (const auto &Floor : Heard.floors)
+  for (const auto &Floor : Received.floors)
     Hooks_.FloorSeen_({ServiceName(Floor->service), PoolName(Floor->pool),
                        TierIndex(Floor->tier),
                        Now + milliseconds(Floor->remaining_ms)});
@@ -211,7 +214,7 @@
     wire::ProbeAckT Ack;
     Ack.sequence = Probe.sequence;
     fill(Ack, Now);
-    // A suspected sender is told so, whatever else is piggybacked.
+    // A suspected sender receives the claim, whatever else is piggybacked.
     if (Probe.sender)
       if (auto Known = Members_.find(VmId(Probe.sender->vm)))
         Ack.members.push_back(memberToWire(*Known));
@@ -235,7 +238,8 @@
   PendingProbe Probe = Found->second;
   Pending_.erase(Found);
   if (Probe.RequesterSequence_ == 0) {
-    // An answer by way of others says nothing of how soon one comes here.
+    // The answer to an indirect probe says nothing about the latency to this
+    // daemon.
     if (!Probe.Indirect_)
       Health_.good();
     return;
@@ -246,9 +250,9 @@
   send(std::move(Forwarded), Probe.Requester_);
 }
 
-/// A link that breaks may tell more of this daemon, or of the way between, than
-/// of the member: told to all as a suspicion, it would move a sound keeper's
-/// cells.
+/// Probes a member whose link broke. The cause may be this daemon or the path
+/// rather than the member: gossiped as a suspicion, it would move a healthy
+/// keeper's cells.
 void MembershipProtocol::check(const VmId &Id, TimePoint Now) {
   bool Awaited = std::ranges::any_of(Pending_, [&](const auto &Item) {
     return Item.second.Target_ == Id && Item.second.RequesterSequence_ == 0;
--- a/Source/Process/Membership/MembershipProtocol.h
+++ b/Source/Process/Membership/MembershipProtocol.h
@@ -1,8 +1,9 @@
 #pragma once
 /// \file
-/// What daemons tell each other of who lives: probes, acks, probes by way of
-/// others, and news that ride on them. Pure: datagrams and the time come and go
-/// as arguments and hooks; MembershipService.h brings the socket and the timer.
+/// The failure detection and gossip protocol between daemons: probes, acks,
+/// indirect probes, and the updates piggybacked on them. Does no I/O: datagrams
+/// and the time are passed as arguments and to hooks; MembershipService.h adds
+/// the socket and the timer.
 
 #include "Connection/Http.h"
 #include "Connection/PeerMessage.h"
@@ -17,7 +18,8 @@
 
 namespace samphireshunt {
 
-/// The lowest tier that a pool still admits, until the given time.
+/// The admission floor of a pool: the lowest tier still admitted, until the
+/// given time.
 struct PoolFloor {
   ServiceName Service_;
   PoolName Pool_;
@@ -31,17 +33,18 @@
     std::chrono::milliseconds Period_{500};
     std::chrono::milliseconds AckTimeout_{150};
     std::size_t IndirectProbes_ = 2;
-    /// Members in each message, with news or without.
+    /// The number of members in each message, whether or not there are recent
+    /// changes.
     std::size_t PiggybackedMembers_ = 5;
-    /// The most when there is much news: about what a datagram carries that is
-    /// not cut into parts.
+    /// The maximum when there are many recent changes: about as many as fit
+    /// into a datagram that is not fragmented.
     std::size_t MostPiggybacked_ = 10;
-    /// How many members are told at once of a new version.
+    /// The number of members that are informed at once of a new version.
     std::size_t NewsFanOut_ = 3;
   };
   struct Hooks {
     std::function<std::vector<wire::ServiceVersionT>()> Versions_;
-    /// A member has this version of a service's document.
+    /// Called with the version of a service's document that a member has.
     std::function<void(const VmId &, const wire::ServiceVersionT &)>
         VersionSeen_;
     std::function<std::vector<PoolFloor>()> Floors_;
@@ -49,22 +52,24 @@
   };
   using SendHook = std::function<void(const Endpoint &, std::string Datagram)>;
 
-  MembershipProtocol(MemberTable &Members, Options Settings, Hooks Reactions,
+  MembershipProtocol(MemberTable &Members, Options Settings, Hooks Callbacks,
                      SendHook Send);
 
-  /// Does what is due. \returns when it wants to be called again.
+  /// Performs the actions that are due.
+  /// \returns when it must be called again.
   TimePoint step(TimePoint Now);
-  /// The timer for step() came so much later than it was due.
+  /// Reports that the timer for step() fired \p Late after its expiry.
   void wokeLate(std::chrono::steady_clock::duration Late);
   void receive(std::string_view Datagram, const Endpoint &From, TimePoint Now);
-  /// Probes an address of which nothing is known yet.
+  /// Probes an address whose daemon is still unknown.
   void join(const Endpoint &Address, TimePoint Now);
-  /// Probes a member out of its turn: something seems wrong with it.
+  /// Probes a member outside the round, because something seems wrong with it.
   void check(const VmId &Id, TimePoint Now);
-  /// Tells a few members at once, instead of at the next period.
+  /// Sends the current state to a few members at once, instead of at the next
+  /// period.
   void spreadNews(TimePoint Now);
   const Options &options() const { return Options_; }
-  /// True once any other daemon has answered.
+  /// Returns true once a message of any other daemon was received.
   bool heardFromPeer() const { return HeardFromPeer_; }
   std::uint64_t bytesSent() const { return BytesSent_; }
   std::uint64_t bytesReceived() const { return BytesReceived_; }
@@ -74,7 +79,7 @@
     VmId Target_;
     TimePoint Started_;
     bool Indirect_ = false;
-    /// Set when the probe is made for a third daemon.
+    /// Set if the probe is made for another daemon.
     Endpoint Requester_;
     std::uint32_t RequesterSequence_ = 0;
   };
@@ -87,7 +92,7 @@
                           TimePoint Now);
   void onProbe(const wire::ProbeT &Probe, const Endpoint &From, TimePoint Now);
   void onAck(const wire::ProbeAckT &Ack, TimePoint Now);
-  template <class Message> void learn(const Message &Heard, TimePoint Now);
+  template <class Message> void learn(const Message &Received, TimePoint Now);
   template <class Message> void fill(Message &Target, TimePoint Now);
   template <class Message> void send(Message Body, const Endpoint &To);
 
--- a/Source/Process/Membership/MembershipService.cpp
+++ b/Source/Process/Membership/MembershipService.cpp
@@ -24,16 +24,16 @@
 std::unique_ptr<MembershipService>
 MembershipService::create(asio::io_context &Control, Udp::socket Socket,
                           MemberTable &Members, Options Settings,
-                          Hooks Reactions) {
+                          Hooks Callbacks) {
   return std::unique_ptr<MembershipService>(new MembershipService(
-      Control, std::move(Socket), Members, Settings, std::move(Reactions)));
+      Control, std::move(Socket), Members, Settings, std::move(Callbacks)));
 }
 
 MembershipService::MembershipService(asio::io_context &Control,
                                      Udp::socket Socket, MemberTable &Members,
-                                     Options Settings, Hooks Reactions)
+                                     Options Settings, Hooks Callbacks)
     : Socket_(std::move(Socket)), Timer_(Control),
-      Protocol_(Members, Settings, std::move(Reactions),
+      Protocol_(Members, Settings, std::move(Callbacks),
                 [this](const Endpoint &To, const std::string &Datagram) {
                   send(To, Datagram);
                 }) {}
@@ -76,7 +76,8 @@
 
 void MembershipService::send(const Endpoint &To, const std::string &Datagram) {
   error_code Ignored;
-  // Never waits: a full buffer loses the datagram, as any network may.
+  // Never blocks: if the send buffer is full the datagram is lost, as it may be
+  // on any network.
   Socket_.non_blocking(true, Ignored);
   Socket_.send_to(asio::buffer(Datagram),
                   Udp::endpoint(To.address(), To.port()), 0, Ignored);
--- a/Source/Process/Membership/MembershipService.h
+++ b/Source/Process/Membership/MembershipService.h
@@ -20,30 +20,32 @@
   using Hooks = MembershipProtocol::Hooks;
   using Udp = boost::asio::ip::udp;
 
-  /// The socket for create(). \returns BadSetting.
+  /// Opens the UDP socket for create().
+  /// \returns BadSetting if it can't be opened.
   static Result<Udp::socket> bind(boost::asio::io_context &Control,
                                   const Endpoint &Address);
   static std::unique_ptr<MembershipService>
   create(boost::asio::io_context &Control, Udp::socket Socket,
-         MemberTable &Members, Options Settings, Hooks Reactions);
+         MemberTable &Members, Options Settings, Hooks Callbacks);
 
   void start();
   void stop();
-  /// Probes an address of which nothing is known yet.
+  /// Probes an address whose daemon is still unknown.
   void join(const Endpoint &Address) {
     Protocol_.join(Address, std::chrono::steady_clock::now());
   }
-  /// Probes a member out of its turn: something seems wrong with it.
+  /// Probes a member outside the round, because something seems wrong with it.
   void check(const VmId &Id) {
     Protocol_.check(Id, std::chrono::steady_clock::now());
   }
-  /// Tells a few members at once, instead of at the next period.
+  /// Sends the current state to a few members at once, instead of at the next
+  /// period.
   void spreadNews() { Protocol_.spreadNews(std::chrono::steady_clock::now()); }
   const MembershipProtocol &protocol() const { return Protocol_; }
 
 private:
   MembershipService(boost::asio::io_context &Control, Udp::socket Socket,
-                    MemberTable &Members, Options Settings, Hooks Reactions);
+                    MemberTable &Members, Options Settings, Hooks Callbacks);
   void receiveNext();
   void schedule(TimePoint Next);
   void send(const Endpoint &To, const std::string &Datagram);
--- a/Source/Process/Membership/PeerNetwork.cpp
+++ b/Source/Process/Membership/PeerNetwork.cpp
@@ -12,7 +12,7 @@
 
 Result<std::unique_ptr<PeerNetwork>>
 PeerNetwork::create(asio::io_context &Control, Endpoint Address, VmId Self,
-                    Options Settings, Hooks Reactions) {
+                    Options Settings, Hooks Callbacks) {
   error_code Error;
   Tcp::acceptor Acceptor(Control);
   Acceptor.open(Address.protocol(), Error);
@@ -28,13 +28,13 @@
                                                Error.message()};
   return std::unique_ptr<PeerNetwork>(
       new PeerNetwork(Control, std::move(Acceptor), std::move(Self), Settings,
-                      std::move(Reactions)));
+                      std::move(Callbacks)));
 }
 
 PeerNetwork::PeerNetwork(asio::io_context &Control, Tcp::acceptor Acceptor,
-                         VmId Self, Options Settings, Hooks Reactions)
+                         VmId Self, Options Settings, Hooks Callbacks)
     : Control_(Control), Acceptor_(std::move(Acceptor)), Self_(std::move(Self)),
-      Options_(Settings), Hooks_(std::move(Reactions)) {
+      Options_(Settings), Hooks_(std::move(Callbacks)) {
   acceptNext();
 }
 
@@ -50,16 +50,16 @@
 
 void PeerNetwork::startInbound(Tcp::socket Socket) {
   auto Self = std::make_shared<std::weak_ptr<FrameChannel>>();
-  FrameChannel::Hooks Reactions;
-  Reactions.Received_ = [this, Self](wire::EnvelopeT Message) {
+  FrameChannel::Hooks Callbacks;
+  Callbacks.Received_ = [this, Self](wire::EnvelopeT Message) {
     if (auto Channel = Self->lock())
       onInbound(Channel, std::move(Message));
   };
-  Reactions.Closed_ = [this, Self] {
+  Callbacks.Closed_ = [this, Self] {
     if (auto Channel = Self->lock())
       dropInbound(Channel.get());
   };
-  auto Channel = FrameChannel::create(std::move(Socket), std::move(Reactions),
+  auto Channel = FrameChannel::create(std::move(Socket), std::move(Callbacks),
                                       FrameChannel::Timing());
   *Self = Channel;
   Unnamed_[Channel.get()] = Channel;
@@ -111,7 +111,7 @@
   auto Text = Hooks_.AddressOf_(To);
   auto Address = Text ? parseEndpoint(*Text) : Result<Endpoint>(Failure());
   if (!Address) {
-    // Not at once: the sender may be in the middle of changing its tables.
+    // The hook is posted, because the sender may be modifying its tables.
     asio::post(Control_, [this, To] { linkDown(To); });
     return;
   }
@@ -125,15 +125,15 @@
   auto Connected = co_await connectTcp(Address, Options_.ConnectTimeout_);
   if (!Connected)
     co_return linkDown(To);
-  FrameChannel::Hooks Reactions;
-  Reactions.Received_ = [this, To](wire::EnvelopeT Message) {
+  FrameChannel::Hooks Callbacks;
+  Callbacks.Received_ = [this, To](wire::EnvelopeT Message) {
     Hooks_.Answered_(To, std::move(Message));
   };
-  Reactions.Closed_ = [this, To] { linkDown(To); };
-  Reactions.Awaiting_ = [this, To] { return Hooks_.Awaiting_(To); };
+  Callbacks.Closed_ = [this, To] { linkDown(To); };
+  Callbacks.Awaiting_ = [this, To] { return Hooks_.Awaiting_(To); };
   Link &Target = Links_[To];
   Target.Channel_ = FrameChannel::create(
-      std::move(*Connected), std::move(Reactions), FrameChannel::Timing());
+      std::move(*Connected), std::move(Callbacks), FrameChannel::Timing());
   wire::HelloT Hello;
   Hello.vm = Self_.str();
   Target.Channel_->send(encodeMessage(std::move(Hello)));
--- a/Source/Process/Membership/PeerNetwork.h
+++ b/Source/Process/Membership/PeerNetwork.h
@@ -1,7 +1,7 @@
 #pragma once
 /// \file
-/// The TCP links of a daemon with other daemons: one that it opened to each
-/// daemon that it asks, and those that others opened. Runs on the control
+/// The TCP links of a daemon to others: one that it opened to each daemon that
+/// it sends requests to, and those that others opened. Runs on the control
 /// thread.
 
 #include "Connection/FrameChannel.h"
@@ -19,34 +19,34 @@
 class PeerNetwork {
 public:
   struct Options {
-    /// Far longer than any way between two VMs: one that does not answer by
-    /// then is down or cut off.
+    /// Far longer than any round trip between two VMs: a daemon that does not
+    /// accept within this time is down or partitioned.
     std::chrono::milliseconds ConnectTimeout_{500};
   };
   struct Hooks {
-    /// A message on a link that \p From opened.
+    /// Called with a message on a link that \p From opened.
     std::function<void(const VmId &From, wire::EnvelopeT)> Asked_;
-    /// A message on a link that this daemon opened to \p From.
+    /// Called with a message on a link that this daemon opened to \p From.
     std::function<void(const VmId &From, wire::EnvelopeT)> Answered_;
-    /// A link to \p To could not be opened, or broke.
+    /// Called when a link to \p To could not be opened, or broke.
     std::function<void(const VmId &To)> LinkDown_;
-    /// \p From opened a link; earlier ones of it are void.
+    /// Called when \p From opened a link, which replaces its earlier ones.
     std::function<void(const VmId &From)> AskerCame_;
-    /// The link that \p From had opened broke.
+    /// Called when the link that \p From had opened broke.
     std::function<void(const VmId &From)> AskerGone_;
-    /// True while an answer of \p To is awaited.
+    /// Returns true while an answer of \p To is awaited.
     std::function<bool(const VmId &To)> Awaiting_;
     std::function<std::optional<std::string>(const VmId &)> AddressOf_;
   };
 
   static Result<std::unique_ptr<PeerNetwork>>
   create(boost::asio::io_context &Control, Endpoint Address, VmId Self,
-         Options Settings, Hooks Reactions);
+         Options Settings, Hooks Callbacks);
 
   Endpoint address() const { return Acceptor_.local_endpoint(); }
-  /// Sends on the link to \p To, which is opened when there is none.
+  /// Sends on the link to \p To, and opens it if there is none.
   void send(const VmId &To, std::string Message);
-  /// Sends on the link that \p To opened; lost when there is none.
+  /// Sends on the link that \p To opened; the message is lost if there is none.
   void reply(const VmId &To, std::string Message);
   void stop();
   std::uint64_t bytesSent() const;
@@ -59,7 +59,7 @@
   using Tcp = boost::asio::ip::tcp;
 
   PeerNetwork(boost::asio::io_context &Control, Tcp::acceptor Acceptor,
-              VmId Self, Options Settings, Hooks Reactions);
+              VmId Self, Options Settings, Hooks Callbacks);
   void acceptNext();
   void startInbound(Tcp::socket Socket);
   void onInbound(const std::shared_ptr<FrameChannel> &Channel,
@@ -76,7 +76,7 @@
   Hooks Hooks_;
   std::map<VmId, Link> Links_;
   std::map<VmId, std::shared_ptr<FrameChannel>> Inbound_;
-  /// Connections whose other end has not said who it is.
+  /// Connections whose peer has not sent its name.
   std::map<const FrameChannel *, std::shared_ptr<FrameChannel>> Unnamed_;
   std::uint64_t BytesOfClosed_ = 0;
 };
--- a/Source/Process/Membership/PeerPort.h
+++ b/Source/Process/Membership/PeerPort.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// A daemon is reached by others at one port, by TCP and by UDP.
+/// Opens the port at which other daemons reach this one by TCP and UDP.
 
 #include "Common/ResultCode.h"
 #include "Connection/Http.h"
@@ -9,15 +9,15 @@
 
 namespace samphireshunt {
 
-/// How often another port is tried before the start fails. With a share p of
-/// the UDP ports in use, all fail with a probability of p to this power.
+/// The number of ports tried before the start fails. If a fraction p of the UDP
+/// ports is in use, all attempts fail with a probability of p to this power.
 constexpr int ChosenPortTries = 8;
 
-/// Opens streams at \p Wanted, then datagrams at the address that this gave.
-/// With port 0 the system chooses a port that is free for TCP; some other
-/// process may hold its UDP port, and the daemon would not start. So another
-/// one is chosen then.
-/// \returns the failure of what could not be opened.
+/// Opens a TCP listener at \p Wanted, then a UDP socket at the resulting
+/// address. With port 0, the system chooses a port that is free for TCP, but
+/// another process may use its UDP port, and the daemon would not start.
+/// Another port is chosen in that case.
+/// \returns the failure of the socket that could not be opened.
 Result<void>
 openAtOnePort(const Endpoint &Wanted,
               const std::function<Result<Endpoint>()> &OpenStreams,
