--- a/UnitTests/Process/Keeping/AllotmentOfManyCellsTest.cpp
+++ b/UnitTests/Process/Keeping/AllotmentOfManyCellsTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Allotments where a pool has many cells, and each keeper few of them.
+/// Tests allotments in a pool with many cells, of which each keeper schedules
+/// few.
 
 #include "Process/Keeping/KeeperChoice.h"
 #include "Process/Keeping/KeeperService.h"
@@ -30,11 +31,11 @@
 constexpr std::int64_t TokensPerSecond = 18000;
 constexpr std::int64_t PromptTokens = 2890;
 constexpr std::int64_t AnswerTokens = 600;
-/// Long enough for a bucket to fill, with the pause between asks.
-constexpr int MostAsks = 100;
+/// Enough requests, with the pause between them, for a token bucket to fill.
+constexpr int MaxRequests = 100;
 constexpr std::chrono::milliseconds Pause{20};
 
-Pool poolOfAll() {
+Pool wholePool() {
   Pool Target;
   Target.Name_ = ThePool;
   for (int Number = 0; Number < Servers; ++Number) {
@@ -50,7 +51,7 @@
   Document Built;
   Built.Service_ = Service;
   Built.Tiers_ = {"0"};
-  Built.Pools_.push_back(poolOfAll());
+  Built.Pools_.push_back(wholePool());
   Customer Limited;
   Limited.Name_ = Calm;
   Limited.Allotment_ = {static_cast<double>(TokensPerSecond),
@@ -69,26 +70,26 @@
   return Members;
 }
 
-/// One daemon of the fleet, with the cells that it keeps.
-class KeepingVm {
+/// One daemon of the fleet, with the cells that it schedules.
+class KeeperDaemon {
 public:
-  KeepingVm(boost::asio::io_context &Control, DocumentStore &Documents,
-            KeeperChoice &Choice, VmId Self)
+  KeeperDaemon(boost::asio::io_context &Control, DocumentStore &Documents,
+               KeeperChoice &Choice, VmId Self)
       : Keeper_(Control, Documents, options(), hooks(Choice, std::move(Self))) {
     Keeper_.refresh();
   }
 
   bool granted() const { return Granted_; }
   std::vector<CellId> cells() const { return Keeper_.cells(); }
-  void ask(std::uint64_t Number) {
-    AskedRequest Asked;
-    Asked.Id_ = {1, Number};
-    Asked.Customer_ = Calm;
-    Asked.Prompt_ = Tokens(PromptTokens);
-    Asked.Answer_ = Tokens(AnswerTokens);
-    Asked.Deadline_ = steady_clock::now() + std::chrono::hours(1);
-    Asked.Entry_ = VmId("entry");
-    Keeper_.ask(cells().front(), std::move(Asked));
+  void requestGrant(std::uint64_t Number) {
+    AskedRequest Request;
+    Request.Id_ = {1, Number};
+    Request.Customer_ = Calm;
+    Request.Prompt_ = Tokens(PromptTokens);
+    Request.Answer_ = Tokens(AnswerTokens);
+    Request.Deadline_ = steady_clock::now() + std::chrono::hours(1);
+    Request.Entry_ = VmId("entry");
+    Keeper_.ask(cells().front(), std::move(Request));
   }
 
 private:
@@ -101,8 +102,8 @@
 
   KeeperService::Hooks hooks(KeeperChoice &Choice, VmId Self) {
     KeeperService::Hooks Hooks;
-    Hooks.Decided_ = [this](const CellId &, const Decision &Taken) {
-      Granted_ |= std::holds_alternative<GrantDecision>(Taken);
+    Hooks.Decided_ = [this](const CellId &, const Decision &Made) {
+      Granted_ |= std::holds_alternative<GrantDecision>(Made);
     };
     Hooks.Orphaned_ = [](const OrphanedRequest &) {};
     Hooks.AloneInFleet_ = [] { return false; };
@@ -120,30 +121,31 @@
 
 } // namespace
 
-// In large fleets callers within their allotment are refused for ever.
-TEST_CASE("a request within the allotment of a calm customer is granted, "
-          "whichever of many cells it asks") {
+// In a large fleet, each keeper's share of an allotment may be smaller than one
+// request; callers within their allotment would then be refused forever.
+TEST_CASE("a request within its customer's allotment is granted by the keeper "
+          "of any of many cells") {
   boost::asio::io_context Control;
   DocumentStore Documents;
   adopt(Documents);
   std::vector<Member> Members = fleetWithStrongLinks();
   KeeperChoice Choice([&] { return Members; });
-  std::vector<std::unique_ptr<KeepingVm>> Keepers;
+  std::vector<std::unique_ptr<KeeperDaemon>> Keepers;
   std::size_t Cells = 0;
-  for (const Member &One : Members) {
-    auto Keeper =
-        std::make_unique<KeepingVm>(Control, Documents, Choice, One.Id_);
+  for (const Member &Candidate : Members) {
+    auto Keeper = std::make_unique<KeeperDaemon>(Control, Documents, Choice,
+                                                 Candidate.Id_);
     Cells += Keeper->cells().size();
     if (!Keeper->cells().empty())
       Keepers.push_back(std::move(Keeper));
   }
-  CHECK(Cells == cellCount(poolOfAll()));
-  for (std::uint64_t Number = 1; Number <= MostAsks; ++Number) {
+  CHECK(Cells == cellCount(wholePool()));
+  for (std::uint64_t Number = 1; Number <= MaxRequests; ++Number) {
     for (auto &Keeper : Keepers)
       if (!Keeper->granted())
-        Keeper->ask(Number);
+        Keeper->requestGrant(Number);
     Control.restart();
     Control.run_for(Pause);
   }
-  CHECK(std::ranges::all_of(Keepers, &KeepingVm::granted));
+  CHECK(std::ranges::all_of(Keepers, &KeeperDaemon::granted));
 }
--- a/UnitTests/Process/Keeping/GrantClientTest.cpp
+++ b/UnitTests/Process/Keeping/GrantClientTest.cpp
@@ -17,18 +17,20 @@
 const CellId Cell{ServiceName("s"), PoolName("p"), 0};
 const RequestId Id{1, 1};
 
-/// An entry whose keepers are "first" and then "second"; what it sends is kept.
-class Entry {
+/// An ingress daemon whose keepers are "first" and then "second"; it records
+/// what is sent.
+class IngressDaemon {
 public:
-  Entry() : Client_(Control_, VmId("entry"), hooks()) {}
+  IngressDaemon() : Client_(Control_, VmId("entry"), hooks()) {}
 
   void acquire() {
-    AskedRequest Asked;
-    Asked.Id_ = Id;
-    Asked.Customer_ = CustomerName("c");
-    Asked.Deadline_ = std::chrono::steady_clock::now() + std::chrono::hours(1);
-    Asked.MaxWait_ = std::chrono::seconds(1);
-    Client_.acquire(Cell, Asked,
+    AskedRequest Request;
+    Request.Id_ = Id;
+    Request.Customer_ = CustomerName("c");
+    Request.Deadline_ =
+        std::chrono::steady_clock::now() + std::chrono::hours(1);
+    Request.MaxWait_ = std::chrono::seconds(1);
+    Client_.acquire(Cell, Request,
                     [this](GrantAnswer Answer) { Answers_.push_back(Answer); });
     settle();
   }
@@ -36,12 +38,12 @@
     Client_.onDecision(GrantDecision{Id, ServerName(Server), {}}, VmId(Keeper));
     settle();
   }
-  /// Works off all that was posted.
+  /// Runs all posted handlers.
   void settle() {
     Control_.restart();
     Control_.poll();
   }
-  /// How many messages of this kind went to the keeper.
+  /// Returns the number of messages of this kind sent to the keeper.
   std::size_t sent(const std::string &Keeper, wire::Body Kind) const {
     return static_cast<std::size_t>(
         std::ranges::count(Sent_, std::pair(Keeper, Kind)));
@@ -69,127 +71,126 @@
 
 } // namespace
 
-TEST_CASE("a grant that comes after the request was given up is handed back") {
-  // Symptom: an engine's place stays taken although nobody uses it.
-  // Sequence: the deadline passes; the grant is already on its way.
-  // Cause: nobody waited for it any more, so nobody ended it.
-  Entry Asking;
-  Asking.acquire();
-  Asking.Client_.withdraw(Id);
-  Asking.settle();
-  Asking.grantFrom("first", "e1");
-  CHECK(Asking.Answers_.empty());
-  CHECK(Asking.sent("first", wire::Body::Withdraw) == 1);
-  CHECK(Asking.sent("first", wire::Body::Done) == 1);
+TEST_CASE("a grant that arrives after its request was withdrawn is returned") {
+  // An unused engine slot would stay occupied if a request is withdrawn at its
+  // deadline while the grant is already in transit: nobody waits for the grant,
+  // so nobody would end it.
+  IngressDaemon Ingress;
+  Ingress.acquire();
+  Ingress.Client_.withdraw(Id);
+  Ingress.settle();
+  Ingress.grantFrom("first", "e1");
+  CHECK(Ingress.Answers_.empty());
+  CHECK(Ingress.sent("first", wire::Body::Withdraw) == 1);
+  CHECK(Ingress.sent("first", wire::Body::Done) == 1);
 }
 
-TEST_CASE("a grant that comes twice is used once") {
-  // Symptom: a request is dispatched to two engines.
-  // Sequence: a keeper's grant is repeated, for the same engine or another.
-  // Cause: each grant was taken for a new one.
-  Entry Asking;
-  Asking.acquire();
-  Asking.grantFrom("first", "e1");
-  Asking.grantFrom("first", "e2");
-  REQUIRE(Asking.Answers_.size() == 1);
-  CHECK(Asking.Answers_[0].Server_ == ServerName("e1"));
+TEST_CASE("a grant that arrives twice is used once") {
+  // A request would be dispatched to two engines if a keeper's grant is
+  // received twice, for the same engine or another, and each is taken for a new
+  // one.
+  IngressDaemon Ingress;
+  Ingress.acquire();
+  Ingress.grantFrom("first", "e1");
+  Ingress.grantFrom("first", "e2");
+  REQUIRE(Ingress.Answers_.size() == 1);
+  CHECK(Ingress.Answers_[0].Server_ == ServerName("e1"));
 }
 
-TEST_CASE("a lost keeper's ask goes to the next, and its late grant back") {
-  // Symptom: a request is dispatched twice, by grants of two keepers.
-  // Sequence: the link to the first keeper breaks; the second is asked and
-  // grants; the first one's grant arrives after all.
-  // Cause: a grant was judged by its request alone, not by its keeper.
-  Entry Asking;
-  Asking.acquire();
-  Asking.Client_.onLinkDown(VmId("first"));
-  CHECK(Asking.sent("second", wire::Body::Ask) == 1);
-  Asking.grantFrom("first", "e1");
-  CHECK(Asking.Answers_.empty());
-  CHECK(Asking.sent("first", wire::Body::Done) == 1);
-  Asking.grantFrom("second", "e2");
-  REQUIRE(Asking.Answers_.size() == 1);
-  CHECK(Asking.Answers_[0].Server_ == ServerName("e2"));
+TEST_CASE("a lost keeper's request moves to the next keeper, and its grant is "
+          "returned") {
+  // A request would be dispatched twice, by grants of two keepers: the link to
+  // the first keeper breaks, the second keeper grants the request, and then the
+  // first one's grant arrives. A grant must be matched by its keeper as well as
+  // by its request.
+  IngressDaemon Ingress;
+  Ingress.acquire();
+  Ingress.Client_.onLinkDown(VmId("first"));
+  CHECK(Ingress.sent("second", wire::Body::Ask) == 1);
+  Ingress.grantFrom("first", "e1");
+  CHECK(Ingress.Answers_.empty());
+  CHECK(Ingress.sent("first", wire::Body::Done) == 1);
+  Ingress.grantFrom("second", "e2");
+  REQUIRE(Ingress.Answers_.size() == 1);
+  CHECK(Ingress.Answers_[0].Server_ == ServerName("e2"));
 }
 
-TEST_CASE("a new keeper is told what runs") {
-  // Symptom: after a keeper's death an engine gets twice its limit.
-  // Sequence: a request runs; its keeper's link breaks.
-  // Cause: the new keeper knew only of what it had granted itself.
-  Entry Asking;
-  Asking.acquire();
-  Asking.grantFrom("first", "e1");
-  Asking.Client_.dispatched(Id, nullptr);
-  Asking.settle();
-  Asking.Client_.onLinkDown(VmId("first"));
-  CHECK(Asking.sent("second", wire::Body::Running) == 1);
-  Asking.Client_.done(Id, ServedSample());
-  Asking.settle();
-  CHECK(Asking.sent("second", wire::Body::Done) == 1);
-  CHECK(Asking.sent("first", wire::Body::Done) == 0);
+TEST_CASE("running requests are reported to a new keeper") {
+  // An engine would get twice its limit after the link to a keeper breaks while
+  // a request runs, if the new keeper knows only what it granted itself.
+  IngressDaemon Ingress;
+  Ingress.acquire();
+  Ingress.grantFrom("first", "e1");
+  Ingress.Client_.dispatched(Id, nullptr);
+  Ingress.settle();
+  Ingress.Client_.onLinkDown(VmId("first"));
+  CHECK(Ingress.sent("second", wire::Body::Running) == 1);
+  Ingress.Client_.done(Id, ServedSample());
+  Ingress.settle();
+  CHECK(Ingress.sent("second", wire::Body::Done) == 1);
+  CHECK(Ingress.sent("first", wire::Body::Done) == 0);
 }
 
-TEST_CASE("a keeper that has no configuration yet is passed over") {
-  // Symptom: for five seconds after a loss of power every request is refused
-  // with code 204, at all daemons, although engines are idle.
-  // Sequence: all daemons start again; the platform's service turns away the
-  // one that keeps the cell, so it knows no engine.
-  // Cause: its refusal was taken for that of a cell without engines.
-  Entry Asking;
-  Asking.acquire();
-  Asking.Client_.onDecision(
+TEST_CASE("a keeper without a configuration is skipped") {
+  // After a loss of power, all daemons would refuse every request with code 204
+  // for seconds although engines are idle: the platform's service turned away
+  // the daemon that is the cell's keeper, so it knows no engine, and its
+  // refusal would be taken for that of a cell without engines.
+  IngressDaemon Ingress;
+  Ingress.acquire();
+  Ingress.Client_.onDecision(
       RefuseDecision{
           Id, ResultCode::NotReady, std::chrono::milliseconds(0), {}},
       VmId("first"));
-  Asking.settle();
-  CHECK(Asking.Answers_.empty());
-  CHECK(Asking.sent("second", wire::Body::Ask) == 1);
-  Asking.grantFrom("second", "e1");
-  REQUIRE(Asking.Answers_.size() == 1);
-  CHECK(Asking.Answers_.front().Code_ == ResultCode::Ok);
+  Ingress.settle();
+  CHECK(Ingress.Answers_.empty());
+  CHECK(Ingress.sent("second", wire::Body::Ask) == 1);
+  Ingress.grantFrom("second", "e1");
+  REQUIRE(Ingress.Answers_.size() == 1);
+  CHECK(Ingress.Answers_.front().Code_ == ResultCode::Ok);
 }
 
-TEST_CASE("a keeper that answers too late is passed over") {
-  // Symptom: for ten seconds all callers leave without an answer, and engines
-  // are idle.
-  // Sequence: a burst comes while the keeper's VM is slow; its links hold.
-  // Cause: only a keeper that was silent was passed over.
-  Entry Asking;
-  Asking.acquire();
-  auto Asked = std::chrono::steady_clock::now();
-  Asking.Client_.checkLateAnswers(Asked + std::chrono::milliseconds(900));
-  Asking.Client_.checkLateAnswers(Asked + std::chrono::milliseconds(1000));
-  CHECK(Asking.sent("second", wire::Body::Ask) == 0);
-  Asking.Client_.checkLateAnswers(Asked + std::chrono::seconds(5));
-  CHECK(Asking.sent("second", wire::Body::Ask) == 0);
-  Asking.Client_.checkLateAnswers(Asked + std::chrono::seconds(6));
-  CHECK(Asking.sent("second", wire::Body::Ask) == 1);
-  CHECK(Asking.sent("first", wire::Body::Ask) == 1);
-  // It lives, and would keep the request's place for ever.
-  CHECK(Asking.sent("first", wire::Body::Withdraw) == 1);
+TEST_CASE("a keeper whose answers are overdue is skipped") {
+  // All callers would leave without an answer, while engines are idle, if a
+  // burst arrives when the keeper's VM is slow but its links stay open, and
+  // only an unreachable keeper is replaced.
+  IngressDaemon Ingress;
+  Ingress.acquire();
+  auto Start = std::chrono::steady_clock::now();
+  Ingress.Client_.checkLateAnswers(Start + std::chrono::milliseconds(900));
+  Ingress.Client_.checkLateAnswers(Start + std::chrono::milliseconds(1000));
+  CHECK(Ingress.sent("second", wire::Body::Ask) == 0);
+  Ingress.Client_.checkLateAnswers(Start + std::chrono::seconds(5));
+  CHECK(Ingress.sent("second", wire::Body::Ask) == 0);
+  Ingress.Client_.checkLateAnswers(Start + std::chrono::seconds(6));
+  CHECK(Ingress.sent("second", wire::Body::Ask) == 1);
+  CHECK(Ingress.sent("first", wire::Body::Ask) == 1);
+  // The keeper is alive, and would leave the request's slot occupied forever.
+  CHECK(Ingress.sent("first", wire::Body::Withdraw) == 1);
 }
 
 namespace {
 
-/// A daemon that keeps its own cell, of engines with one place each, until
-/// another one does.
-class OwnKeeper {
+/// A daemon that schedules its own cell, of engines with one slot each, until
+/// another daemon does.
+class LocalKeeperDaemon {
 public:
-  explicit OwnKeeper(int Engines)
+  explicit LocalKeeperDaemon(int Engines)
       : Client_(Control_, Self, clientHooks()),
         Keeper_(Control_, withEngines(Documents_, Engines), options(),
                 keeperHooks()) {
     Client_.setLocalKeeper(&Keeper_);
   }
   void acquire(std::uint64_t Number) {
-    AskedRequest Asked;
-    Asked.Id_ = {1, Number};
-    Asked.Customer_ = CustomerName("c");
-    Asked.Deadline_ = std::chrono::steady_clock::now() + std::chrono::hours(1);
-    Client_.acquire(Cell, Asked, [](const GrantAnswer &) {});
+    AskedRequest Request;
+    Request.Id_ = {1, Number};
+    Request.Customer_ = CustomerName("c");
+    Request.Deadline_ =
+        std::chrono::steady_clock::now() + std::chrono::hours(1);
+    Client_.acquire(Cell, Request, [](const GrantAnswer &) {});
     settle();
   }
-  /// Works off all that was posted.
+  /// Runs all posted handlers.
   void settle() {
     Control_.restart();
     Control_.poll();
@@ -198,9 +199,9 @@
   static inline const VmId Self{"self"};
   boost::asio::io_context Control_;
   DocumentStore Documents_;
-  bool OtherKeeps_ = false;
-  /// Requests of which the other keeper was told that they run.
-  std::multiset<RequestId> Told_;
+  bool OtherIsKeeper_ = false;
+  /// Requests that were reported to the other keeper as running.
+  std::multiset<RequestId> ReportedRunning_;
   GrantClient Client_;
   KeeperService Keeper_;
 
@@ -231,20 +232,21 @@
   GrantClient::Hooks clientHooks() {
     GrantClient::Hooks Hooks;
     Hooks.KeeperOf_ = [this](const CellId &, const std::vector<VmId> &) {
-      return std::optional(OtherKeeps_ ? VmId("other") : Self);
+      return std::optional(OtherIsKeeper_ ? VmId("other") : Self);
     };
     Hooks.Send_ = [this](const VmId &, const std::string &Message) {
       auto Decoded = decodeMessage(Message).value();
       if (const auto *Running = Decoded.body.AsRunning())
-        Told_.insert({Running->id->origin(), Running->id->sequence()});
+        ReportedRunning_.insert(
+            {Running->id->origin(), Running->id->sequence()});
     };
     Hooks.Check_ = [](const VmId &) {};
     return Hooks;
   }
   KeeperService::Hooks keeperHooks() {
     KeeperService::Hooks Hooks;
-    Hooks.Decided_ = [this](const CellId &, const Decision &Taken) {
-      Client_.onDecision(Taken, Self);
+    Hooks.Decided_ = [this](const CellId &, const Decision &Made) {
+      Client_.onDecision(Made, Self);
     };
     Hooks.Orphaned_ = [](const OrphanedRequest &) {};
     Hooks.AloneInFleet_ = [] { return true; };
@@ -257,59 +259,59 @@
 
 } // namespace
 
-TEST_CASE(
-    "grants that come while others move to the next keeper harm nothing") {
-  // Symptom: a daemon ends by itself, with memory in use that was freed, as a
-  // new configuration comes.
-  // Sequence: it keeps a cell, with requests of its own running and waiting;
-  // the cell moves; each withdrawal frees a place for one that waits.
-  // Cause: the map of grants was walked through while grants were put into it.
-  constexpr std::uint64_t Places = 40;
-  OwnKeeper Daemon(Places);
-  for (std::uint64_t Number = 1; Number <= 5 * Places; ++Number)
+TEST_CASE("grants during the move to the next keeper don't corrupt memory") {
+  // A daemon would crash on freed memory when a new configuration arrives. It
+  // schedules a cell, with requests of its own running and waiting; the cell
+  // moves, and each withdrawal frees a slot for a waiting request. The grant
+  // would be inserted into the map of grants during the iteration over it.
+  constexpr std::uint64_t Slots = 40;
+  LocalKeeperDaemon Daemon(Slots);
+  for (std::uint64_t Number = 1; Number <= 5 * Slots; ++Number)
     Daemon.acquire(Number);
-  REQUIRE(Daemon.Client_.running() == Places);
-  Daemon.OtherKeeps_ = true;
+  REQUIRE(Daemon.Client_.running() == Slots);
+  Daemon.OtherIsKeeper_ = true;
   Daemon.Client_.rebind();
-  for (std::uint64_t Number = 1; Number <= Places; ++Number)
-    CHECK(Daemon.Told_.count({1, Number}) == 1);
+  for (std::uint64_t Number = 1; Number <= Slots; ++Number)
+    CHECK(Daemon.ReportedRunning_.count({1, Number}) == 1);
   Daemon.Client_.rebind();
-  CHECK(std::ranges::all_of(Daemon.Told_, [&](const RequestId &Moved) {
-    return Daemon.Told_.count(Moved) == 1;
-  }));
+  CHECK(
+      std::ranges::all_of(Daemon.ReportedRunning_, [&](const RequestId &Moved) {
+        return Daemon.ReportedRunning_.count(Moved) == 1;
+      }));
 }
 
-TEST_CASE("a cell that moves gives no place to what moves with it") {
-  // Engines of one place each got two requests when their cell moved to another
-  // keeper: 40 ran, and 80 did after the move. Each request that was withdrawn
-  // to move freed its place; it went to one that waited, at once and at the
-  // keeper that was about to be left, while the next keeper was told that the
-  // first one still runs.
-  constexpr std::uint64_t Places = 40;
-  OwnKeeper Daemon(Places);
-  for (std::uint64_t Number = 1; Number <= 5 * Places; ++Number)
+TEST_CASE(
+    "a cell that moves grants no slot to the requests that move with it") {
+  // Engines with one slot each would get two requests when their cell moves to
+  // another keeper. Each request that is withdrawn to move frees its slot at
+  // the previous keeper, which would grant it at once to a waiting request,
+  // while the next keeper is informed that the first request still runs.
+  constexpr std::uint64_t Slots = 40;
+  LocalKeeperDaemon Daemon(Slots);
+  for (std::uint64_t Number = 1; Number <= 5 * Slots; ++Number)
     Daemon.acquire(Number);
-  REQUIRE(Daemon.Client_.running() == Places);
-  Daemon.OtherKeeps_ = true;
+  REQUIRE(Daemon.Client_.running() == Slots);
+  Daemon.OtherIsKeeper_ = true;
   Daemon.Client_.rebind();
   Daemon.settle();
-  CHECK(Daemon.Client_.running() == Places);
-  CHECK(Daemon.Client_.waiting() == 4 * Places);
+  CHECK(Daemon.Client_.running() == Slots);
+  CHECK(Daemon.Client_.waiting() == 4 * Slots);
 }
 
-TEST_CASE("only the keeper that is asked now can refuse") {
-  // A request ends with a refusal although its keeper has room: an earlier one,
-  // that was passed over for its late answers, refuses it after all.
-  Entry Asking;
-  Asking.acquire();
-  Asking.Client_.onLinkDown(VmId("first"));
-  REQUIRE(Asking.sent("second", wire::Body::Ask) == 1);
-  RefuseDecision Late{
+TEST_CASE("only the keeper that is asked now can refuse a request") {
+  // A request would be refused although its keeper has capacity, if a previous
+  // keeper, abandoned because its answers were overdue, refuses the request
+  // after all.
+  IngressDaemon Ingress;
+  Ingress.acquire();
+  Ingress.Client_.onLinkDown(VmId("first"));
+  REQUIRE(Ingress.sent("second", wire::Body::Ask) == 1);
+  RefuseDecision Stale{
       Id, ResultCode::WaitTooLong, std::chrono::milliseconds(0), {}};
-  Asking.Client_.onDecision(Late, VmId("first"));
-  Asking.settle();
-  CHECK(Asking.Answers_.empty());
-  Asking.grantFrom("second", "e1");
-  REQUIRE(Asking.Answers_.size() == 1);
-  CHECK(Asking.Answers_.front().Code_ == ResultCode::Ok);
+  Ingress.Client_.onDecision(Stale, VmId("first"));
+  Ingress.settle();
+  CHECK(Ingress.Answers_.empty());
+  Ingress.grantFrom("second", "e1");
+  REQUIRE(Ingress.Answers_.size() == 1);
+  CHECK(Ingress.Answers_.front().Code_ == ResultCode::Ok);
 }
--- a/UnitTests/Process/Keeping/KeeperChoiceTest.cpp
+++ b/UnitTests/Process/Keeping/KeeperChoiceTest.cpp
@@ -16,27 +16,29 @@
 
 } // namespace
 
-TEST_CASE("members are looked at once until one of them changes") {
-  // Load: a request asks for its cell's keeper, and each change of a member
-  // asks again for all that wait and run.
+TEST_CASE("a choice is cached until a member changes") {
+  // Each request needs its cell's keeper, and each change of a member repeats
+  // the choice for all waiting and running requests.
   auto Members = fleet(300);
-  int Looks = 0;
+  int Lookups = 0;
   KeeperChoice Choice([&] {
-    ++Looks;
+    ++Lookups;
     return Members;
   });
   for (int Round = 0; Round < 100; ++Round)
     for (std::uint32_t Index = 0; Index < 8; ++Index)
       CHECK(Choice.keeperOf(cell(Index), {}) ==
             keeperOf(cell(Index), Members)->Id_);
-  CHECK(Looks == 8);
-  VmId Gone = *Choice.keeperOf(cell(0), {});
-  std::erase_if(Members, [&](const Member &One) { return One.Id_ == Gone; });
+  CHECK(Lookups == 8);
+  VmId Removed = *Choice.keeperOf(cell(0), {});
+  std::erase_if(Members, [&](const Member &Candidate) {
+    return Candidate.Id_ == Removed;
+  });
   Choice.membersChanged();
   CHECK(Choice.keeperOf(cell(0), {}) == keeperOf(cell(0), Members)->Id_);
 }
 
-TEST_CASE("those that can't be reached are passed over") {
+TEST_CASE("unreachable members are skipped") {
   auto Members = fleet(3);
   KeeperChoice Choice([&] { return Members; });
   VmId First = *Choice.keeperOf(cell(0), {});
@@ -47,18 +49,19 @@
         std::nullopt);
 }
 
-// Each of many keepers has too small a part of an allotment for a request.
+// With many keepers, each would have too small a share of an allotment for a
+// single request.
 TEST_CASE("a pool of many cells has few keepers, each with as many cells") {
   constexpr std::uint32_t Cells = 62;
   auto Members = fleet(300);
   KeeperChoice Choice([&] { return Members; });
-  std::map<VmId, std::uint32_t> Kept;
+  std::map<VmId, std::uint32_t> CellsOfKeeper;
   for (std::uint32_t Index = 0; Index < Cells; ++Index) {
     VmId Keeper = *Choice.keeperOf(cell(Index), {});
-    ++Kept[Keeper];
+    ++CellsOfKeeper[Keeper];
     CHECK(Keeper == keeperOf(cell(Index % MostKeepers), Members)->Id_);
   }
-  CHECK(Kept.size() <= MostKeepers);
-  for (const auto &[Keeper, Count] : Kept)
+  CHECK(CellsOfKeeper.size() <= MostKeepers);
+  for (const auto &[Keeper, Count] : CellsOfKeeper)
     CHECK(Count >= Cells / MostKeepers);
 }
--- a/UnitTests/Process/Keeping/KeeperServiceTest.cpp
+++ b/UnitTests/Process/Keeping/KeeperServiceTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// A keeper's cells between entries that come and go.
+/// Tests a keeper's cells while ingress daemons disconnect, reconnect and die.
 
 #include "Process/Keeping/KeeperService.h"
 
@@ -16,18 +16,18 @@
 const ServiceName Service("s");
 const PoolName ThePool("p");
 const CellId Cell{Service, ThePool, 0};
-const VmId Entry("entry");
-/// Of the customer "limited".
+const VmId Ingress("entry");
+/// The allotment of the customer "limited".
 const Allotment Allowed{10, 1, false, Tokens(0)};
 
-/// A keeper of one engine with one place.
+/// A keeper of one engine with one slot.
 class OneEngineKeeper {
 public:
   OneEngineKeeper()
       : Keeper_(Control_, withOneEngine(Documents_), options(), hooks()) {}
 
-  void ask(std::uint64_t Number, const CellId &Of = Cell) {
-    Keeper_.ask(Of, asked(Number));
+  void ask(std::uint64_t Number, const CellId &Target = Cell) {
+    Keeper_.ask(Target, asked(Number));
     settle();
   }
   static AskedRequest asked(std::uint64_t Number) {
@@ -35,10 +35,10 @@
     Asked.Id_ = {1, Number};
     Asked.Customer_ = CustomerName("c");
     Asked.Deadline_ = std::chrono::steady_clock::now() + std::chrono::hours(1);
-    Asked.Entry_ = Entry;
+    Asked.Entry_ = Ingress;
     return Asked;
   }
-  /// Works off all that was posted.
+  /// Runs all posted handlers.
   void settle() {
     Control_.restart();
     Control_.poll();
@@ -46,16 +46,17 @@
   bool granted(std::uint64_t Number) const {
     return std::ranges::count(Granted_, RequestId{1, Number}) > 0;
   }
-  /// How often others were told of something while \p Call ran, and by what was
-  /// posted until then.
-  std::pair<int, int> toldDuringAndAfter(const std::function<void()> &Call) {
-    int Before = Told_;
+  /// Returns how many decisions and orphans were reported to hooks during
+  /// \p Call, and by the handlers posted until then.
+  std::pair<int, int>
+  notificationsDuringAndAfter(const std::function<void()> &Call) {
+    int Before = Notifications_;
     Call();
-    int During = Told_;
+    int During = Notifications_;
     settle();
-    return {During - Before, Told_ - During};
+    return {During - Before, Notifications_ - During};
   }
-  /// Puts a configuration in force whose only engine leaves.
+  /// Activates a configuration in which the only engine is leaving.
   void letEngineLeave() {
     adopt(Documents_, DocumentVersion(2), true);
     Keeper_.refresh();
@@ -66,11 +67,12 @@
   std::vector<RequestId> Granted_;
   std::vector<RequestId> Orphans_;
   std::map<RequestId, ResultCode> Refused_;
-  int Told_ = 0;
+  int Notifications_ = 0;
   KeeperService Keeper_;
 
 private:
-  /// How long a round takes differs from run to run.
+  /// Without pauses between rounds, since the duration of a round differs from
+  /// run to run.
   static KeeperService::Options options() {
     KeeperService::Options Options;
     Options.RoundPause_ = 0;
@@ -104,15 +106,15 @@
   }
   KeeperService::Hooks hooks() {
     KeeperService::Hooks Hooks;
-    Hooks.Decided_ = [this](const CellId &, const Decision &Taken) {
-      ++Told_;
-      if (const auto *Grant = std::get_if<GrantDecision>(&Taken))
+    Hooks.Decided_ = [this](const CellId &, const Decision &Made) {
+      ++Notifications_;
+      if (const auto *Grant = std::get_if<GrantDecision>(&Made))
         Granted_.push_back(Grant->Id_);
-      if (const auto *Refusal = std::get_if<RefuseDecision>(&Taken))
+      if (const auto *Refusal = std::get_if<RefuseDecision>(&Made))
         Refused_[Refusal->Id_] = Refusal->Code_;
     };
     Hooks.Orphaned_ = [this](const OrphanedRequest &Orphan) {
-      ++Told_;
+      ++Notifications_;
       Orphans_.push_back(Orphan.Request_.Id_);
     };
     Hooks.AloneInFleet_ = [] { return true; };
@@ -125,42 +127,41 @@
 
 } // namespace
 
-TEST_CASE("an entry's new link frees the places of what ended while its old "
-          "one was broken") {
-  // Symptom: after a keeper was paused, every request is refused although its
-  // engines are idle; its lines say running=20.
-  // Sequence: an entry runs requests; its link to the paused keeper breaks, and
-  // the ends of its requests are told to another keeper; within seconds the
-  // entry asks again on a new link.
-  // Cause: the entry's return was taken for its requests' still running.
+TEST_CASE("a new link of an ingress daemon frees the slots of requests that "
+          "ended while its old link was broken") {
+  // After a pause of a keeper, every request would be refused although its
+  // engines are idle, with running=20 in the log. The link of an ingress daemon
+  // to the paused keeper breaks, and the ends of its requests are reported to
+  // another keeper; seconds later it reconnects. The reconnection does not mean
+  // that its earlier requests still run.
   OneEngineKeeper Paused;
   Paused.ask(1);
   REQUIRE(Paused.granted(1));
-  Paused.Keeper_.entryGone(Entry);
-  Paused.Keeper_.entryBack(Entry);
+  Paused.Keeper_.entryGone(Ingress);
+  Paused.Keeper_.entryBack(Ingress);
   Paused.ask(2);
   CHECK(Paused.granted(2));
 }
 
-TEST_CASE("what an entry says to run on its new link takes its place again") {
+TEST_CASE("a request reported as running on a new link takes its slot again") {
   OneEngineKeeper Paused;
   Paused.ask(1);
-  Paused.Keeper_.entryGone(Entry);
-  Paused.Keeper_.entryBack(Entry);
-  RunningRequest Still;
-  Still.Id_ = {1, 1};
-  Still.Server_ = ServerName("engine");
-  Still.Entry_ = Entry;
-  Paused.Keeper_.running(Cell, Still);
+  Paused.Keeper_.entryGone(Ingress);
+  Paused.Keeper_.entryBack(Ingress);
+  RunningRequest Running;
+  Running.Id_ = {1, 1};
+  Running.Server_ = ServerName("engine");
+  Running.Entry_ = Ingress;
+  Paused.Keeper_.running(Cell, Running);
   Paused.ask(2);
   CHECK_FALSE(Paused.granted(2));
-  // It goes on at its entry: nobody cancels it.
+  // The request continues at its ingress daemon, so it must not be cancelled.
   CHECK(Paused.Orphans_.empty());
 }
 
 TEST_CASE(
-    "a keeper that does not know a cell's pool says so, instead of that it "
-    "has no engines") {
+    "a keeper that does not know a cell's pool answers NotReady, instead of "
+    "reporting no engines") {
   OneEngineKeeper Keeper;
   Keeper.ask(1, {ServiceName("unknown"), ThePool, 0});
   Keeper.ask(2, {Service, PoolName("unknown"), 0});
@@ -168,23 +169,24 @@
   CHECK(Keeper.Refused_[{1, 2}] == ResultCode::NotReady);
 }
 
-TEST_CASE("decisions are told after the call that makes them has returned") {
-  // Daemons ended by themselves, with memory in use that was freed, 15 to 60 ms
-  // after their lines "adopted": a new configuration makes a keeper walk
-  // through its cells and decide. Whoever was told of a grant on that stack
-  // called back, and changed what was walked through.
-  OneEngineKeeper Kept;
-  KeeperService &Keeper = Kept.Keeper_;
-  Kept.ask(1);
-  REQUIRE(Kept.granted(1));
-  AskedRequest Waits = OneEngineKeeper::asked(2);
-  Waits.Entry_ = VmId("other");
-  Waits.Tier_ = TierIndex(1);
-  Keeper.ask(Cell, Waits);
-  Kept.settle();
-  REQUIRE_FALSE(Kept.granted(2));
+TEST_CASE(
+    "decisions are delivered after the call that makes them has returned") {
+  // Daemons would crash on freed memory a few milliseconds after the log event
+  // "adopted". A new configuration makes a keeper iterate over its cells and
+  // decide. If a grant were delivered on that stack, its receiver would call
+  // back and change the tables during the iteration.
+  OneEngineKeeper Daemon;
+  KeeperService &Keeper = Daemon.Keeper_;
+  Daemon.ask(1);
+  REQUIRE(Daemon.granted(1));
+  AskedRequest Waiting = OneEngineKeeper::asked(2);
+  Waiting.Entry_ = VmId("other");
+  Waiting.Tier_ = TierIndex(1);
+  Keeper.ask(Cell, Waiting);
+  Daemon.settle();
+  REQUIRE_FALSE(Daemon.granted(2));
   std::function<void()> Decide;
-  SUBCASE("an ask") {
+  SUBCASE("a grant request") {
     Decide = [&] {
       Keeper.ask({ServiceName("unknown"), ThePool, 0},
                  OneEngineKeeper::asked(3));
@@ -193,92 +195,96 @@
   SUBCASE("a withdrawal") {
     Decide = [&] { Keeper.withdraw(Cell, {1, 1}); };
   }
-  SUBCASE("an end") {
+  SUBCASE("the end of a request") {
     Decide = [&] { Keeper.done(Cell, {1, 1}, ServedSample()); };
   }
-  SUBCASE("a grant that is handed back") {
+  SUBCASE("a returned grant") {
     Decide = [&] { Keeper.handBack({1, 1}); };
   }
-  SUBCASE("an entry's new link") {
-    Decide = [&] { Keeper.entryBack(Entry); };
+  SUBCASE("a new link of an ingress daemon") {
+    Decide = [&] { Keeper.entryBack(Ingress); };
   }
-  SUBCASE("an entry's death") {
-    Decide = [&] { Keeper.entryDead(Entry); };
+  SUBCASE("the death of an ingress daemon") {
+    Decide = [&] { Keeper.entryDead(Ingress); };
   }
-  SUBCASE("another keeper's floor") {
+  SUBCASE("the admission floor of another keeper") {
     auto Until = std::chrono::steady_clock::now() + std::chrono::hours(1);
     Decide = [&Keeper, Until] {
       Keeper.floorSeen({Service, ThePool, TierIndex(0), Until});
     };
   }
   SUBCASE("a new configuration") {
-    Decide = [&] { Kept.letEngineLeave(); };
+    Decide = [&] { Daemon.letEngineLeave(); };
   }
-  auto [During, After] = Kept.toldDuringAndAfter(Decide);
+  auto [During, After] = Daemon.notificationsDuringAndAfter(Decide);
   CHECK(During == 0);
   CHECK(After > 0);
 }
 
 TEST_CASE("a grant that is taken back before it is told is not told") {
-  // Told although its place was given to another request meanwhile, it would
-  // put two requests into one place of an engine.
-  OneEngineKeeper Kept;
-  Kept.Keeper_.ask(Cell, OneEngineKeeper::asked(1));
-  SUBCASE("its request is withdrawn") { Kept.Keeper_.withdraw(Cell, {1, 1}); }
-  SUBCASE("its entry has a new link") { Kept.Keeper_.entryBack(Entry); }
-  Kept.ask(2);
-  CHECK_FALSE(Kept.granted(1));
-  CHECK(Kept.granted(2));
+  // If the grant were delivered although its slot was granted to another
+  // request meanwhile, two requests would share one slot of an engine.
+  OneEngineKeeper Daemon;
+  Daemon.Keeper_.ask(Cell, OneEngineKeeper::asked(1));
+  SUBCASE("its request is withdrawn") { Daemon.Keeper_.withdraw(Cell, {1, 1}); }
+  SUBCASE("its ingress daemon has a new link") {
+    Daemon.Keeper_.entryBack(Ingress);
+  }
+  Daemon.ask(2);
+  CHECK_FALSE(Daemon.granted(1));
+  CHECK(Daemon.granted(2));
 }
 
 TEST_CASE("a grant that is taken back before it is told uses no allotment") {
-  OneEngineKeeper Kept;
-  Kept.Keeper_.refresh();
+  OneEngineKeeper Daemon;
+  Daemon.Keeper_.refresh();
   AskedRequest Asked = OneEngineKeeper::asked(0);
   Asked.Customer_ = CustomerName("limited");
   auto Granted = [&] {
-    return Kept.Keeper_.scheduler(Cell)->findRunning(Asked.Id_).has_value();
+    return Daemon.Keeper_.scheduler(Cell)->findRunning(Asked.Id_).has_value();
   };
-  // The allotment is empty at first, and fills within a tenth of a second.
+  // The allotment is initially empty, and fills within a tenth of a second.
   auto End = std::chrono::steady_clock::now() + std::chrono::seconds(10);
   while (!Granted() && std::chrono::steady_clock::now() < End) {
-    Kept.settle();
+    Daemon.settle();
     ++Asked.Id_.Sequence_;
-    Kept.Keeper_.ask(Cell, Asked);
+    Daemon.Keeper_.ask(Cell, Asked);
   }
   REQUIRE(Granted());
   SUBCASE("its request is withdrawn") {
-    Kept.Keeper_.withdraw(Cell, Asked.Id_);
+    Daemon.Keeper_.withdraw(Cell, Asked.Id_);
   }
-  SUBCASE("its entry has a new link") { Kept.Keeper_.entryBack(Entry); }
-  Kept.settle();
+  SUBCASE("its ingress daemon has a new link") {
+    Daemon.Keeper_.entryBack(Ingress);
+  }
+  Daemon.settle();
   ++Asked.Id_.Sequence_;
-  Kept.Keeper_.ask(Cell, Asked);
+  Daemon.Keeper_.ask(Cell, Asked);
   CHECK(Granted());
 }
 
-TEST_CASE("grants that are told use their allotment") {
-  OneEngineKeeper Kept;
+TEST_CASE("grants that are delivered use their allotment") {
+  OneEngineKeeper Daemon;
   auto Begin = std::chrono::steady_clock::now();
-  Kept.Keeper_.refresh();
+  Daemon.Keeper_.refresh();
   AskedRequest Asked = OneEngineKeeper::asked(0);
   Asked.Customer_ = CustomerName("limited");
-  std::chrono::duration<double> Taken{0};
+  std::chrono::duration<double> Elapsed{0};
   constexpr std::chrono::milliseconds TimeOfThree{300};
-  while (Kept.Granted_.empty() || Taken < TimeOfThree) {
+  while (Daemon.Granted_.empty() || Elapsed < TimeOfThree) {
     ++Asked.Id_.Sequence_;
-    Kept.Keeper_.ask(Cell, Asked);
-    Kept.settle();
-    Kept.Keeper_.withdraw(Cell, Asked.Id_);
-    Taken = std::chrono::steady_clock::now() - Begin;
+    Daemon.Keeper_.ask(Cell, Asked);
+    Daemon.settle();
+    Daemon.Keeper_.withdraw(Cell, Asked.Id_);
+    Elapsed = std::chrono::steady_clock::now() - Begin;
   }
-  auto Most = Allowed.Burst_ + Allowed.PerSecond_ * Taken.count();
-  CHECK(static_cast<double>(Kept.Granted_.size()) <= Most);
+  auto Max = Allowed.Burst_ + Allowed.PerSecond_ * Elapsed.count();
+  CHECK(static_cast<double>(Daemon.Granted_.size()) <= Max);
 }
 
 namespace {
 
-const VmId OtherEntry("other-entry");
+const VmId OtherIngress("other-entry");
 
 void askFrom(OneEngineKeeper &Keeper, const VmId &From, std::uint64_t Number) {
   AskedRequest Asked;
@@ -290,7 +296,8 @@
   Keeper.Control_.poll();
 }
 
-/// Works until the request has its place, or far longer than that may take.
+/// Runs handlers until the request is granted, or for far longer than that may
+/// take.
 bool grantedInTime(OneEngineKeeper &Keeper, std::uint64_t Number) {
   auto End = std::chrono::steady_clock::now() + std::chrono::seconds(10);
   while (!Keeper.granted(Number) && std::chrono::steady_clock::now() < End)
@@ -300,41 +307,45 @@
 
 } // namespace
 
-TEST_CASE("what waits for an entry whose link broke gets no place") {
-  // A keeper was not let run for a second. Its entries closed their links and
-  // asked another keeper; what they had asked before still lay unread, and got
-  // the places when the keeper went on. Nobody ever ended those grants: the
-  // keeper's own callers waited until their deadlines, "refused code=200,
-  // waiting=9, running=1" ten seconds later with an idle engine.
+TEST_CASE("a request waiting for an entry whose link broke gets no place") {
+  // If a keeper is suspended for a second, its ingress daemons close their
+  // links and use another keeper. Their earlier requests are still unread, and
+  // would get the slots when the keeper continues. Nobody would end those
+  // grants: the requests of the keeper's own callers would wait until their
+  // deadlines (log event "refused" with code=200, waiting=9, running=1) with an
+  // idle engine.
   OneEngineKeeper Paused;
-  askFrom(Paused, Entry, 1);
-  askFrom(Paused, Entry, 2);
-  askFrom(Paused, OtherEntry, 3);
+  askFrom(Paused, Ingress, 1);
+  askFrom(Paused, Ingress, 2);
+  askFrom(Paused, OtherIngress, 3);
   REQUIRE(Paused.granted(1));
-  Paused.Keeper_.entryGone(Entry);
+  Paused.Keeper_.entryGone(Ingress);
   Paused.Keeper_.done(Cell, {1, 1}, ServedSample());
   CHECK(grantedInTime(Paused, 3));
   CHECK_FALSE(Paused.granted(2));
 }
 
-TEST_CASE("the place of an entry whose link broke goes to who waits") {
-  // As above: what the keeper granted before its pause had ended meanwhile, as
-  // its entry told another keeper.
+TEST_CASE(
+    "the place of an entry whose link broke is granted to a waiting request") {
+  // The same failure for requests that the keeper granted before it was
+  // suspended: they ended meanwhile, which their ingress daemon reported to
+  // another keeper.
   OneEngineKeeper Paused;
-  askFrom(Paused, Entry, 1);
-  askFrom(Paused, OtherEntry, 2);
+  askFrom(Paused, Ingress, 1);
+  askFrom(Paused, OtherIngress, 2);
   REQUIRE(Paused.granted(1));
-  Paused.Keeper_.entryGone(Entry);
+  Paused.Keeper_.entryGone(Ingress);
   CHECK(grantedInTime(Paused, 2));
   CHECK(Paused.Orphans_.empty());
-  SUBCASE("its requests are ended at their engines if the entry is dead") {
-    Paused.Keeper_.entryDead(Entry);
+  SUBCASE("its requests are cancelled at their engines if the ingress daemon "
+          "dies") {
+    Paused.Keeper_.entryDead(Ingress);
     Paused.Control_.poll();
     CHECK(Paused.Orphans_ == std::vector<RequestId>{{1, 1}});
   }
-  SUBCASE("they are left alone if it comes back") {
-    Paused.Keeper_.entryBack(Entry);
-    Paused.Keeper_.entryDead(Entry);
+  SUBCASE("its requests are not cancelled if it reconnects") {
+    Paused.Keeper_.entryBack(Ingress);
+    Paused.Keeper_.entryDead(Ingress);
     Paused.Control_.poll();
     CHECK(Paused.Orphans_.empty());
   }
--- a/UnitTests/Process/Keeping/PostedQueueTest.cpp
+++ b/UnitTests/Process/Keeping/PostedQueueTest.cpp
@@ -7,7 +7,7 @@
 
 using namespace samphireshunt;
 
-TEST_CASE("what is queued is delivered later, in order, and in one turn") {
+TEST_CASE("queued values are delivered later, in order, and in one iteration") {
   boost::asio::io_context Context;
   std::vector<int> Delivered;
   PostedQueue<int> Queue(Context, [&](int Next) { Delivered.push_back(Next); });
@@ -18,7 +18,7 @@
   CHECK(Delivered == std::vector{1, 2});
 }
 
-TEST_CASE("what is queued during a delivery waits for the next turn") {
+TEST_CASE("values queued during a delivery wait for the next iteration") {
   boost::asio::io_context Context;
   std::vector<int> Delivered;
   std::optional<PostedQueue<int>> Queue;
@@ -35,7 +35,7 @@
   CHECK(Delivered == std::vector{1, 2, 11, 12});
 }
 
-TEST_CASE("a queue that is gone delivers nothing") {
+TEST_CASE("a destroyed queue delivers nothing") {
   boost::asio::io_context Context;
   int Delivered = 0;
   std::optional<PostedQueue<int>> Queue;
