--- a/Source/Process/Membership/PeerPort.cpp
+++ b/Source/Process/Membership/PeerPort.cpp
@@ -4,14 +4,14 @@
 
 Result<void>
 openAtOnePort(const Endpoint &Wanted,
-              const std::function<Result<Endpoint>()> &OpenStreams,
-              const std::function<Result<void>(Endpoint)> &OpenDatagrams) {
+              const std::function<Result<Endpoint>()> &OpenTcp,
+              const std::function<Result<void>(Endpoint)> &OpenUdp) {
   int Tries = Wanted.port() == 0 ? ChosenPortTries : 1;
   while (true) {
-    auto Address = OpenStreams();
+    auto Address = OpenTcp();
     if (!Address)
       return Address.error();
-    auto Opened = OpenDatagrams(*Address);
+    auto Opened = OpenUdp(*Address);
     if (Opened || --Tries == 0)
       return Opened;
   }
--- a/Source/Process/Membership/PeerPort.h
+++ b/Source/Process/Membership/PeerPort.h
@@ -20,7 +20,7 @@
 /// \returns the failure of the socket that could not be opened.
 Result<void>
 openAtOnePort(const Endpoint &Wanted,
-              const std::function<Result<Endpoint>()> &OpenStreams,
-              const std::function<Result<void>(Endpoint)> &OpenDatagrams);
+              const std::function<Result<Endpoint>()> &OpenTcp,
+              const std::function<Result<void>(Endpoint)> &OpenUdp);
 
 } // namespace samphireshunt
--- a/UnitTests/Process/MemberFleet.h
+++ b/UnitTests/Process/MemberFleet.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Members of a fleet, for tests of who does what in it.
+/// Builds the members of a fleet for tests.
 
 #include "Process/Membership/MemberTable.h"
 
@@ -10,7 +10,8 @@
 
 namespace samphireshunt::tests {
 
-/// "vm-0", "vm-1" and so on, spread over four data centers.
+/// Returns members named "vm-0", "vm-1" and so on, spread over four data
+/// centers.
 inline std::vector<Member> fleet(int Count) {
   constexpr int DataCenters = 4;
   std::vector<Member> Members;
--- a/UnitTests/Process/Membership/LocalHealthTest.cpp
+++ b/UnitTests/Process/Membership/LocalHealthTest.cpp
@@ -5,7 +5,7 @@
 using namespace samphireshunt;
 using std::chrono::milliseconds;
 
-TEST_CASE("the more of its own probes fail, the longer a daemon waits") {
+TEST_CASE("a daemon waits longer the more of its own probes fail") {
   LocalHealth Health;
   CHECK(Health.scaled(milliseconds(150)) == milliseconds(150));
   Health.bad();
@@ -15,7 +15,7 @@
   CHECK(Health.scaled(milliseconds(150)) == milliseconds(750));
 }
 
-TEST_CASE("answers in time make it trust itself again") {
+TEST_CASE("answers in time restore the score") {
   LocalHealth Health;
   for (int Times = 0; Times < 4; ++Times)
     Health.bad();
--- a/UnitTests/Process/Membership/MemberLogTest.cpp
+++ b/UnitTests/Process/Membership/MemberLogTest.cpp
@@ -7,11 +7,9 @@
 
 using namespace samphireshunt;
 
-TEST_CASE("changes of hundreds of members are a line for each status") {
-  // Symptom: most of what a fleet writes are views of its members, in the very
-  // seconds in which something went wrong.
-  // Sequence: half of a fleet dies at once.
-  // Cause: each daemon wrote a line for each of the others.
+TEST_CASE("changes of hundreds of members are logged in one line per status") {
+  // If half of a fleet dies at once, and each daemon logs a line per member,
+  // status changes would be most of the fleet's log just when something fails.
   boost::asio::io_context Control{1};
   tests::LogCapture Log;
   MemberLog Members(Control);
--- a/UnitTests/Process/Membership/MemberTableTest.cpp
+++ b/UnitTests/Process/Membership/MemberTableTest.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-TEST_CASE("whatever the order of updates, tables end up the same") {
+TEST_CASE("tables converge regardless of the order of updates") {
   bool Holds = rc::check([] {
     auto Updates = *rc::gen::container<std::vector<Member>>(rc::gen::apply(
         [](int Name, int Process, int Counter, int Status) {
@@ -45,22 +45,22 @@
   CHECK(Holds);
 }
 
-TEST_CASE("a daemon that is called dead refutes it with a higher counter") {
-  // Symptom: a live daemon loses its cells and its streams for good.
-  // Sequence: a pause makes others hold it dead; it wakes.
-  // Cause: nobody but itself can take the claim back.
-  MemberTable Woken(member("vm-1"), {});
+TEST_CASE("a daemon refutes its death with a higher counter") {
+  // A live daemon would lose its cells and streams permanently if others
+  // considered it dead after a pause: only the daemon itself can override the
+  // claim when it resumes.
+  MemberTable Resumed(member("vm-1"), {});
   MemberTable Other(member("vm-2"), {});
-  Other.merge(Woken.self(), Start);
+  Other.merge(Resumed.self(), Start);
   Other.suspect(VmId("vm-1"), Start);
   Other.tick(Start + milliseconds(1500));
   REQUIRE(Other.find(VmId("vm-1"))->Status_ == MemberStatus::Dead);
-  Woken.merge(*Other.find(VmId("vm-1")), Start);
-  CHECK(Other.merge(Woken.self(), Start));
+  Resumed.merge(*Other.find(VmId("vm-1")), Start);
+  CHECK(Other.merge(Resumed.self(), Start));
   CHECK(Other.find(VmId("vm-1"))->Status_ == MemberStatus::Alive);
 }
 
-TEST_CASE("a process that starts anew on a VM replaces the dead one") {
+TEST_CASE("a new process on a VM replaces the dead one") {
   MemberTable Table(member("self"), {});
   Table.merge(member("vm-1", 1), Start);
   Table.suspect(VmId("vm-1"), Start);
@@ -70,7 +70,7 @@
   CHECK_FALSE(Table.merge(member("vm-1", 1), Start));
 }
 
-TEST_CASE("a suspicion that is refuted in time kills nobody") {
+TEST_CASE("a suspicion that is refuted in time does not lead to a death") {
   MemberTable Table(member("self"), {});
   Table.merge(member("vm-1"), Start);
   Table.suspect(VmId("vm-1"), Start);
@@ -81,7 +81,7 @@
   CHECK(Table.find(VmId("vm-1"))->Status_ == MemberStatus::Alive);
 }
 
-TEST_CASE("dead members lower the share until the platform's list drops them") {
+TEST_CASE("dead members lower the live share until the platform drops them") {
   MemberTable Table(member("self"), {});
   for (const char *Name : {"a", "b", "c"})
     Table.merge(member(Name), Start);
@@ -95,7 +95,8 @@
   CHECK(Table.liveShare() == doctest::Approx(1.0));
 }
 
-TEST_CASE("a leaving daemon keeps no cell and is probed as before") {
+TEST_CASE(
+    "a leaving daemon schedules no cell, and members are probed as before") {
   MemberTable Table(member("self"), {});
   Table.merge(member("a"), Start);
   Table.leave();
@@ -105,7 +106,7 @@
   CHECK(Table.nextProbe()->Id_ == VmId("a"));
 }
 
-TEST_CASE("a round of probes reaches every member once, the dead too") {
+TEST_CASE("a probe round covers every member once, including dead ones") {
   MemberTable Table(member("self"), {});
   for (const char *Name : {"a", "b", "c", "d"})
     Table.merge(member(Name), Start);
@@ -118,9 +119,9 @@
   CHECK(Probed == std::vector{VmId("a"), VmId("b"), VmId("c"), VmId("d")});
 }
 
-TEST_CASE("a suspicion lasts longer by the time that this process paused") {
-  // 1,082 daemons that all ran were taken for dead in five seconds: after a
-  // pause the suspicion's time was over before the refutation was read.
+TEST_CASE("a suspicion is prolonged by a pause of this process") {
+  // After a pause of the process, daemons that all run would be declared dead:
+  // their suspicions expire before the refutations are read.
   MemberTable Table(member("self"), {});
   Table.merge(member("a"), Start);
   Table.suspect(VmId("a"), Start);
@@ -131,7 +132,7 @@
   CHECK(Table.find(VmId("a"))->Status_ == MemberStatus::Dead);
 }
 
-TEST_CASE("in a small fleet each daemon probes all suspects, up to a number") {
+TEST_CASE("in a small fleet each daemon probes all suspects, up to a limit") {
   MemberTable Table(member("self"), {});
   for (const char *Name : {"a", "b", "c", "d", "e"})
     Table.merge(member(Name), Start);
--- a/UnitTests/Process/Membership/MembershipServiceTest.cpp
+++ b/UnitTests/Process/Membership/MembershipServiceTest.cpp
@@ -18,13 +18,13 @@
 
 Endpoint anyPort() { return {boost::asio::ip::make_address("127.0.0.1"), 0}; }
 
-/// An address that nobody else uses while the test runs.
+/// Returns an address that nobody else uses while the test runs.
 Endpoint freeAddress(boost::asio::io_context &Control) {
   Udp::socket Probe(Control, Udp::endpoint(anyPort().address(), 0));
   return {anyPort().address(), Probe.local_endpoint().port()};
 }
 
-/// The members of one daemon and what it does to know whether they live.
+/// The members of one daemon and its failure detection.
 class Daemon {
 public:
   Daemon(boost::asio::io_context &Control, const std::string &Name,
@@ -53,9 +53,9 @@
 
   Endpoint Address_;
   MemberTable Members_;
-  /// What was believed of the other daemon, in turn.
+  /// The statuses of the other daemon, in order.
   std::vector<MemberStatus> Statuses_;
-  /// Called while a message of this daemon is written.
+  /// Called while a message of this daemon is built.
   std::function<void()> OnMessage_;
   std::unique_ptr<MembershipService> Service_;
 
@@ -84,24 +84,24 @@
 } // namespace
 
 TEST_CASE("a pause of this process is not taken for the death of others") {
-  // Beside a large configuration 74 daemons that all ran wrote 1,304 lines
-  // "member" with status suspect and 1,082 with dead within five seconds; their
-  // keepers changed, and requests moved. A process that gets no processor for a
-  // while finds its timers due before it has read the acks that came meanwhile:
-  // it took its own silence for that of the others.
+  // A daemon that is suspended for a while, for instance because it gets no
+  // processor time beside a large configuration, would declare healthy daemons
+  // suspect and dead; their keepers would change, and requests would move. When
+  // it resumes, its timers are due before it has read the acks that arrived
+  // meanwhile.
   boost::asio::io_context Control{1};
   Daemon Paused(Control, "paused", milliseconds(20));
   Daemon Other(Control, "other", std::chrono::hours(1));
   Udp::socket Noise(Control, Udp::endpoint(anyPort().address(), 0));
   Paused.Service_->start();
-  // It only answers: each of its messages is an ack.
+  // It only answers, so each of its messages is an ack.
   Other.Service_->start();
   Other.Service_->join(Paused.Address_);
   runUntil(Control, [&] { return !Paused.Statuses_.empty(); });
   REQUIRE(Paused.Statuses_ == std::vector<MemberStatus>{MemberStatus::Alive});
   bool Done = false;
-  // While the other one answers a probe, nobody is let run; its ack lies
-  // unread behind other datagrams.
+  // While the other daemon answers a probe, the process is busy, and its ack
+  // stays unread behind other datagrams.
   Other.OnMessage_ = [&] {
     if (std::exchange(Done, true))
       return;
@@ -114,8 +114,8 @@
   };
   runUntil(Control, [&] { return Done; });
   REQUIRE(Done);
-  auto Calm = steady_clock::now() + milliseconds(100);
-  runUntil(Control, [&] { return steady_clock::now() > Calm; });
+  auto SettleEnd = steady_clock::now() + milliseconds(100);
+  runUntil(Control, [&] { return steady_clock::now() > SettleEnd; });
   CHECK(Paused.Statuses_ == std::vector<MemberStatus>{MemberStatus::Alive});
   Paused.Service_->stop();
   Other.Service_->stop();
--- a/UnitTests/Process/Membership/PeerNetworkTest.cpp
+++ b/UnitTests/Process/Membership/PeerNetworkTest.cpp
@@ -19,12 +19,12 @@
 
 const milliseconds Timeout{50};
 const VmId Refusing("refusing");
-constexpr std::size_t EachKind = 8;
+constexpr std::size_t DaemonsPerKind = 8;
 
-/// Daemons that take connections: "early-0" and so on.
-std::vector<VmId> several(const std::string &Name) {
+/// Returns the names of daemons that accept connections: "early-0" and so on.
+std::vector<VmId> namesOf(const std::string &Name) {
   std::vector<VmId> Ids;
-  for (std::size_t Index = 0; Index < EachKind; ++Index)
+  for (std::size_t Index = 0; Index < DaemonsPerKind; ++Index)
     Ids.emplace_back(Name + "-" + std::to_string(Index));
   return Ids;
 }
@@ -39,33 +39,34 @@
 
 Endpoint anyPort() { return {boost::asio::ip::make_address("127.0.0.1"), 0}; }
 
-/// A port of this machine at which nobody listens.
+/// Returns a local address at which nobody listens.
 Endpoint unusedAddress(boost::asio::io_context &Control) {
   boost::asio::ip::tcp::acceptor Probe(Control, anyPort());
   return Probe.local_endpoint();
 }
 
-/// Daemons in one thread: one that opens links to all others.
+/// Daemons in one thread, one of which opens links to all others.
 class Fleet {
 public:
   Fleet() {
     for (const std::string Kind : {"early", "late"})
-      for (const VmId &Id : several(Kind)) {
-        Asked_.push_back(make(Id, askedHooks()));
+      for (const VmId &Id : namesOf(Kind)) {
+        Asked_.push_back(make(Id, serverHooks()));
         Addresses_[Id] = Asked_.back()->address();
       }
     Addresses_[Refusing] = unusedAddress(Control_);
-    Asking_ = make(VmId("asking"), askingHooks());
+    Asking_ = make(VmId("asking"), clientHooks());
   }
 
-  /// Sends \p To a message that names it.
+  /// Sends a message to \p To that contains its name.
   void send(const VmId &To) {
     wire::DocumentRequestT Message;
     Message.service = To.str();
     Asking_->send(To, encodeMessage(std::move(Message)));
   }
 
-  /// Works until \p Done or for as long as a healthy link could ever take.
+  /// Runs handlers until \p Done, or for as long as a working link could ever
+  /// take.
   void pollUntil(const std::function<bool()> &Done) {
     auto End = steady_clock::now() + std::chrono::seconds(10);
     while (!Done() && steady_clock::now() < End) {
@@ -76,7 +77,7 @@
 
   boost::asio::io_context Control_;
   std::map<VmId, Endpoint> Addresses_;
-  /// Called with each link that broke or could not be opened.
+  /// Called with each daemon whose link broke or could not be opened.
   std::function<void(const VmId &)> OnDown_;
   std::multiset<VmId> Down_;
   std::multiset<VmId> Received_;
@@ -90,7 +91,7 @@
     REQUIRE(Made.has_value());
     return std::move(*Made);
   }
-  PeerNetwork::Hooks askedHooks() {
+  PeerNetwork::Hooks serverHooks() {
     PeerNetwork::Hooks Hooks;
     Hooks.Asked_ = [this](const VmId &, wire::EnvelopeT Message) {
       if (const auto *Request = Message.body.AsDocumentRequest())
@@ -100,7 +101,7 @@
     Hooks.AskerGone_ = [](const VmId &) {};
     return Hooks;
   }
-  PeerNetwork::Hooks askingHooks() {
+  PeerNetwork::Hooks clientHooks() {
     PeerNetwork::Hooks Hooks;
     Hooks.LinkDown_ = [this](const VmId &To) {
       Down_.insert(To);
@@ -123,25 +124,25 @@
 
 } // namespace
 
-TEST_CASE(
-    "a connection's timeout that is due with the connection ends nothing") {
-  // Beside a large configuration daemons ended by themselves, five of 74 within
-  // 0.26 s, each with "ended-by-signal","signal":"11" and a stack of
-  // io_context::run and the wait handler of the timer in PeerNetwork::connect.
-  // A daemon that gets no processor for a while finds, in one turn, a
-  // connection made and its timeout due. The coroutine can't cancel a handler
-  // that is queued already, and ends; the handler held the socket by reference,
-  // and closes whatever lies in that memory by then: here sockets of
-  // connections that are opened in the same turn.
+TEST_CASE("a connect timeout that is due together with the connection has no "
+          "effect") {
+  // Daemons would crash with signal 11 in the wait handler of the timer in
+  // PeerNetwork::connect. A daemon that gets no processor time for a while
+  // finds, in one event-loop iteration, a connection established and its
+  // timeout due. The coroutine can't cancel a handler that is already queued,
+  // and ends. If the handler held the socket by reference, it would close
+  // whatever is in that memory by then: here the sockets of connections that
+  // are opened in the same iteration.
   Fleet Daemons;
   Daemons.OnDown_ = [&](const VmId &To) {
     if (To == Refusing)
-      std::ranges::for_each(several("late"),
+      std::ranges::for_each(namesOf("late"),
                             [&](const VmId &Id) { Daemons.send(Id); });
   };
-  // All within one turn: then the process is not let run for a while.
+  // Everything happens in one event-loop iteration, during which the process is
+  // busy until the timeouts are due.
   boost::asio::post(Daemons.Control_, [&] {
-    std::ranges::for_each(several("early"),
+    std::ranges::for_each(namesOf("early"),
                           [&](const VmId &Id) { Daemons.send(Id); });
     Daemons.send(Refusing);
     auto Due = steady_clock::now() + 2 * Timeout;
@@ -149,25 +150,26 @@
     }
   });
   Daemons.pollUntil([&] {
-    return Daemons.Received_.size() + Daemons.Down_.size() == 2 * EachKind + 1;
+    return Daemons.Received_.size() + Daemons.Down_.size() ==
+           2 * DaemonsPerKind + 1;
   });
-  // Nothing is wrong with those that were opened meanwhile.
-  CHECK(countIn(Daemons.Down_, several("late")) == 0);
-  CHECK(countIn(Daemons.Received_, several("late")) == EachKind);
-  // One that was made is used, however late this process looks at it.
-  CHECK(countIn(Daemons.Down_, several("early")) == 0);
-  CHECK(countIn(Daemons.Received_, several("early")) == EachKind);
+  // Connections that were opened meanwhile must not be affected.
+  CHECK(countIn(Daemons.Down_, namesOf("late")) == 0);
+  CHECK(countIn(Daemons.Received_, namesOf("late")) == DaemonsPerKind);
+  // An established connection is used, however late this process handles it.
+  CHECK(countIn(Daemons.Down_, namesOf("early")) == 0);
+  CHECK(countIn(Daemons.Received_, namesOf("early")) == DaemonsPerKind);
   CHECK(Daemons.Down_.count(Refusing) == 1);
 }
 
-TEST_CASE("a sender is not told of a broken link while it sends") {
-  // Who sends may be walking through its tables, and whoever is told that a
-  // link broke changes them.
+TEST_CASE("a sender is not notified of a broken link while it sends") {
+  // The sender may be iterating over its tables, and the hook for a broken link
+  // changes them.
   Fleet Daemons;
   const VmId Unknown("unknown");
   bool Sending = false;
-  bool ToldWhileSending = false;
-  Daemons.OnDown_ = [&](const VmId &) { ToldWhileSending |= Sending; };
+  bool NotifiedWhileSending = false;
+  Daemons.OnDown_ = [&](const VmId &) { NotifiedWhileSending |= Sending; };
   boost::asio::post(Daemons.Control_, [&] {
     Sending = true;
     Daemons.send(Unknown);
@@ -176,5 +178,5 @@
   });
   Daemons.pollUntil([&] { return Daemons.Down_.size() == 2; });
   CHECK(Daemons.Down_ == std::multiset{Unknown, Refusing});
-  CHECK_FALSE(ToldWhileSending);
+  CHECK_FALSE(NotifiedWhileSending);
 }
--- a/UnitTests/Process/Membership/SimulatedFleet.cpp
+++ b/UnitTests/Process/Membership/SimulatedFleet.cpp
@@ -14,19 +14,19 @@
 
 namespace {
 
-constexpr std::size_t PerNetwork = 200;
+constexpr std::size_t HostsPerSubnet = 200;
 constexpr std::uint16_t Port = 7600;
 constexpr std::string_view NamePrefix = "vm-";
 
 Endpoint addressOf(std::size_t Index) {
-  auto Text =
-      fmt::format("10.0.{}.{}", Index / PerNetwork, Index % PerNetwork + 1);
+  auto Text = fmt::format("10.0.{}.{}", Index / HostsPerSubnet,
+                          Index % HostsPerSubnet + 1);
   return {boost::asio::ip::make_address(Text), Port};
 }
 
 std::size_t indexAt(const Endpoint &Address) {
   auto Bytes = Address.address().to_v4().to_bytes();
-  return Bytes[2] * PerNetwork + Bytes[3] - 1;
+  return Bytes[2] * HostsPerSubnet + Bytes[3] - 1;
 }
 
 } // namespace
@@ -58,7 +58,7 @@
     start(Index);
 }
 
-/// A process that knows all members from the start.
+/// Starts a process that knows all members.
 void SimulatedFleet::start(std::size_t Index) {
   Node &Target = *Nodes_[Index];
   MemberTable::Options Table;
@@ -79,22 +79,22 @@
       [this, Index](const Endpoint &To, std::string Datagram) {
         deliver(Index, To, std::move(Datagram));
       });
-  // Processes don't start in step.
+  // Processes start at random phases of the period.
   constexpr int PeriodMs = 500;
   planStep(Index, Now_ + milliseconds(Random_(PeriodMs)));
 }
 
-void SimulatedFleet::plan(TimePoint Due, std::function<void()> Run) {
-  Events_.push({Due, NextNumber_++, std::move(Run)});
+void SimulatedFleet::plan(TimePoint Due, std::function<void()> Handler) {
+  Events_.push({Due, NextNumber_++, std::move(Handler)});
 }
 
 void SimulatedFleet::work(std::size_t Index, microseconds Cost,
                           std::function<void()> Work) {
   Node &Target = *Nodes_[Index];
-  double Times = Target.Slowness_ / Options_.CoreShare_;
+  double Factor = Target.Slowness_ / Options_.CoreShare_;
   TimePoint Begins = std::max(Now_, Target.BusyUntil_);
   Target.BusyUntil_ =
-      Begins + std::chrono::duration_cast<TimePoint::duration>(Cost * Times);
+      Begins + std::chrono::duration_cast<TimePoint::duration>(Cost * Factor);
   plan(Target.BusyUntil_,
        [this, Index, Process = Target.Process_, Work = std::move(Work)] {
          const Node &Present = *Nodes_[Index];
@@ -142,8 +142,8 @@
   FalselyDead_ += Changed.Status_ == MemberStatus::Dead;
 }
 
-void SimulatedFleet::runFor(milliseconds Time) {
-  TimePoint End = Now_ + Time;
+void SimulatedFleet::runFor(milliseconds Duration) {
+  TimePoint End = Now_ + Duration;
   while (!Events_.empty() && Events_.top().Due_ <= End) {
     Event Next = Events_.top();
     Events_.pop();
@@ -155,10 +155,10 @@
 
 milliseconds SimulatedFleet::runUntil(const std::function<bool()> &Done,
                                       milliseconds Limit) {
-  constexpr milliseconds Look{200};
+  constexpr milliseconds Step{200};
   TimePoint Begin = Now_;
   while (!Done() && Now_ - Begin < Limit)
-    runFor(Look);
+    runFor(Step);
   return std::chrono::duration_cast<milliseconds>(Now_ - Begin);
 }
 
@@ -179,9 +179,9 @@
       Target.Protocol_->join(addressOf(Other), Now_);
 }
 
-void SimulatedFleet::keepBusy(std::size_t Index, milliseconds Time) {
+void SimulatedFleet::keepBusy(std::size_t Index, milliseconds Duration) {
   Node &Target = *Nodes_[Index];
-  Target.BusyUntil_ = std::max(Now_, Target.BusyUntil_) + Time;
+  Target.BusyUntil_ = std::max(Now_, Target.BusyUntil_) + Duration;
 }
 
 void SimulatedFleet::accuse(std::size_t Accuser, std::size_t Target) {
@@ -205,14 +205,14 @@
     if (!Viewer->Alive_)
       continue;
     auto Known = Viewer->Members_->others();
-    auto Right = std::ranges::count_if(Known, [&](const Member &Other) {
+    auto Correct = std::ranges::count_if(Known, [&](const Member &Other) {
       const Node &Present = *Nodes_[indexOf(Other.Id_)];
       return Present.Alive_ && Other.Status_ != MemberStatus::Dead &&
              Other.Incarnation_ == Present.Self_.Incarnation_;
     });
     auto Live = std::ranges::count_if(
         Nodes_, [](const auto &Other) { return Other->Alive_; });
-    Pairs += static_cast<std::size_t>(Live - 1 - Right);
+    Pairs += static_cast<std::size_t>(Live - 1 - Correct);
   }
   return Pairs;
 }
--- a/UnitTests/Process/Membership/SimulatedFleet.h
+++ b/UnitTests/Process/Membership/SimulatedFleet.h
@@ -1,7 +1,8 @@
 #pragma once
 /// \file
-/// Many daemons' membership in virtual time, on a network that delays, loses
-/// and partitions, and on VMs that are slow. Everything follows from the seed.
+/// Simulates the membership protocol of many daemons in virtual time, on a
+/// network with delays, losses and partitions, and on slow VMs. The simulation
+/// is deterministic for a given seed.
 
 #include "Process/Membership/MembershipProtocol.h"
 
@@ -21,51 +22,54 @@
 public:
   struct Options {
     std::uint64_t Seed_ = 1;
-    /// Of a hundred datagrams, how many are lost.
+    /// The percentage of datagrams that are lost.
     double LossPercent_ = 0;
     std::chrono::microseconds Latency_{500};
-    /// What a message costs on a whole core.
+    /// The processor time per message on a whole core.
     std::chrono::microseconds MessageCost_{100};
-    /// The part of a core that each VM has.
+    /// The fraction of a core that each VM has.
     double CoreShare_ = 0.12;
   };
 
-  /// \p Count daemons that all know each other.
+  /// Creates \p Count daemons that all know each other.
   SimulatedFleet(std::size_t Count, Options Settings);
 
-  void runFor(std::chrono::milliseconds Time);
-  /// \returns how long it took until \p Done, or the limit.
+  void runFor(std::chrono::milliseconds Duration);
+  /// Runs until \p Done, for \p Limit at most.
+  /// \returns the elapsed time.
   std::chrono::milliseconds runUntil(const std::function<bool()> &Done,
                                      std::chrono::milliseconds Limit);
 
-  /// The process ends without a word.
+  /// Ends the process without notice to others.
   void kill(std::size_t Index);
-  /// A new process on the VM, which hears of all others at once, as from the
-  /// platform's service.
+  /// Starts a new process on the VM, which learns of all others at once, as
+  /// from the platform's service.
   void restart(std::size_t Index);
-  /// The VM works so many times slower from now on.
-  void slowDown(std::size_t Index, double Times) {
-    Nodes_[Index]->Slowness_ = Times;
+  /// Slows the VM down by the factor from now on.
+  void slowDown(std::size_t Index, double Factor) {
+    Nodes_[Index]->Slowness_ = Factor;
   }
-  /// The daemon's other work keeps its VM busy for this long.
-  void keepBusy(std::size_t Index, std::chrono::milliseconds Time);
-  /// Nothing crosses between daemons of different sides; all are on side 0.
+  /// Keeps the VM busy with other work for this long.
+  void keepBusy(std::size_t Index, std::chrono::milliseconds Duration);
+  /// Moves the daemon to a side of a partition. Daemons of different sides
+  /// can't reach each other; all start on side 0.
   void setSide(std::size_t Index, int Side) { Nodes_[Index]->Side_ = Side; }
-  /// This daemon's view of another one is that it gave no sign of life.
+  /// Makes one daemon suspect another, as if it had not answered.
   void accuse(std::size_t Accuser, std::size_t Target);
 
   std::size_t size() const { return Nodes_.size(); }
   bool alive(std::size_t Index) const { return Nodes_[Index]->Alive_; }
   MemberTable &members(std::size_t Index) { return *Nodes_[Index]->Members_; }
-  /// Live daemons whose view of \p Target is \p Status.
+  /// Returns the number of live daemons whose view of \p Target is \p Status.
   std::size_t viewsOf(std::size_t Target, MemberStatus Status) const;
-  /// Pairs of live daemons of which one does not know the other's process, or
-  /// holds it dead.
+  /// Returns the number of pairs of live daemons of which one does not know the
+  /// other's process, or considers it dead.
   std::size_t falseViews() const;
-  /// How often a live daemon came to hold another live one suspect, or dead.
+  /// Return how often a live daemon changed its view of another live one to
+  /// suspect, or to dead.
   std::uint64_t falseSuspicions() const { return FalseSuspicions_; }
   std::uint64_t falselyDead() const { return FalselyDead_; }
-  /// Datagrams that reached the daemon.
+  /// Returns the number of datagrams that reached the daemon.
   std::uint64_t received(std::size_t Index) const {
     return Nodes_[Index]->Received_;
   }
@@ -82,7 +86,8 @@
     double Slowness_ = 1;
     TimePoint BusyUntil_;
     std::uint64_t Received_ = 0;
-    /// Raised by a restart: what was planned for the earlier process is void.
+    /// Raised by a restart, which invalidates the events of the earlier
+    /// process.
     std::uint64_t Process_ = 0;
   };
   struct Event {
@@ -95,8 +100,8 @@
   };
 
   void start(std::size_t Index);
-  void plan(TimePoint Due, std::function<void()> Run);
-  /// Runs \p Work as soon as the VM is free, which takes it \p Cost then.
+  void plan(TimePoint Due, std::function<void()> Handler);
+  /// Runs \p Work once the VM is free and has spent \p Cost on it.
   void work(std::size_t Index, std::chrono::microseconds Cost,
             std::function<void()> Work);
   void planStep(std::size_t Index, TimePoint Due);
