--- a/UnitTests/Process/Membership/PeerNetworkTest.cpp
+++ b/UnitTests/Process/Membership/PeerNetworkTest.cpp
@@ -51,18 +51,18 @@
   Fleet() {
     for (const std::string Kind : {"early", "late"})
       for (const VmId &Id : namesOf(Kind)) {
-        Asked_.push_back(make(Id, serverHooks()));
-        Addresses_[Id] = Asked_.back()->address();
+        Servers_.push_back(make(Id, serverHooks()));
+        Addresses_[Id] = Servers_.back()->address();
       }
     Addresses_[Refusing] = unusedAddress(Control_);
-    Asking_ = make(VmId("asking"), clientHooks());
+    Client_ = make(VmId("asking"), clientHooks());
   }
 
   /// Sends a message to \p To that contains its name.
   void send(const VmId &To) {
     wire::DocumentRequestT Message;
     Message.service = To.str();
-    Asking_->send(To, encodeMessage(std::move(Message)));
+    Client_->send(To, encodeMessage(std::move(Message)));
   }
 
   /// Runs handlers until \p Done, or for as long as a working link could ever
@@ -118,8 +118,8 @@
     return Hooks;
   }
 
-  std::vector<std::unique_ptr<PeerNetwork>> Asked_;
-  std::unique_ptr<PeerNetwork> Asking_;
+  std::vector<std::unique_ptr<PeerNetwork>> Servers_;
+  std::unique_ptr<PeerNetwork> Client_;
 };
 
 } // namespace
