--- a/Source/Process/Keeping/KeeperService.h
+++ b/Source/Process/Keeping/KeeperService.h
@@ -47,9 +47,9 @@
     /// keeper for two seconds, then reconnects and reports what runs; one that
     /// does not has reported the ends of its requests to another keeper.
     std::chrono::milliseconds PlaceGrace_{3000};
-    /// How long those requests are remembered afterwards. This must be longer
-    /// than the detection of the ingress daemon's death takes; otherwise its
-    /// orphans would never be cancelled.
+    /// How long those requests are remembered, from when the link broke. This
+    /// must be longer than it takes to detect the ingress daemon's death;
+    /// otherwise its orphans would never be cancelled.
     std::chrono::milliseconds EntryGrace_{10000};
     /// Requests granted beyond an engine's limit, which queue in the engine, so
     /// that a freed slot does not stay empty until this keeper learns of it.
--- a/UnitTests/Process/Keeping/CellTest.cpp
+++ b/UnitTests/Process/Keeping/CellTest.cpp
@@ -52,9 +52,10 @@
 
 TEST_CASE("daemons with weak links schedule cells only if no link is strong") {
   // In a burst, callers would get no answer for seconds, not even a refusal,
-  // and engines would work at half of their capacity: at twice the usual load,
-  // the messages of a cell's requests saturate the link of a keeper that has a
-  // twentieth of the others' bandwidth.
+  // and engines would work at half of their capacity, if keepers were chosen
+  // without regard to their links: at twice the usual load, the messages of a
+  // cell's requests saturate the link of a keeper that has a twentieth of the
+  // others' bandwidth.
   auto Members = fleet(40);
   for (std::size_t Index = 0; Index < Members.size(); ++Index)
     Members[Index].LinkMbps_ = Index % 10 == 0 ? 200 : 10;
@@ -91,9 +92,9 @@
 
 TEST_CASE("restarted engines beside their old entries move no engine") {
   // Under load, engines would get up to twice their limit, from keepers that
-  // don't know their speed. If 15 of 60 engines crash and return under new
-  // names while their old entries remain, the pool has 75 servers. If that
-  // changed the number of cells, nearly all engines would move to keepers that
+  // don't know how fast they are. If 15 of 60 engines crash and return under
+  // new names while their old entries remain, the pool has 75 servers. If the
+  // pool then got a third cell, nearly all engines would move to keepers that
   // don't know what runs there.
   Pool Before = poolOf(60);
   Pool After = poolOf(75);
