--- a/Source/Process/Configuration/ChangeLog.cpp
+++ b/Source/Process/Configuration/ChangeLog.cpp
@@ -34,14 +34,14 @@
 std::vector<KeyValue> ChangeLog::removeUnless(
     const std::string &Prefix,
     const std::function<bool(const std::string &Name)> &Keep) {
-  std::vector<KeyValue> Gone;
+  std::vector<KeyValue> Removed;
   for (const auto &[Key, Known] : Entries_)
     if (Key.starts_with(Prefix) && !Known.Entry_.Deleted_ &&
         !Keep(Key.substr(Prefix.size())))
-      Gone.push_back(Known.Entry_);
-  for (const KeyValue &Entry : Gone)
+      Removed.push_back(Known.Entry_);
+  for (const KeyValue &Entry : Removed)
     remove(Entry.Key_);
-  return Gone;
+  return Removed;
 }
 
 void ChangeLog::forgetOldRemovals() {
@@ -65,13 +65,13 @@
 }
 
 ChangeLog::Changes ChangeLog::since(std::uint64_t Number,
-                                    std::string_view Apart) const {
+                                    std::string_view ExcludedKey) const {
   Changes Found;
   Found.Complete_ = Number == 0 || Number < Forgotten_ || Number > Last_;
   for (const auto &[Key, Known] : Entries_) {
     bool Wanted =
         Found.Complete_ ? !Known.Entry_.Deleted_ : Known.Number_ > Number;
-    if (Wanted && Key != Apart)
+    if (Wanted && Key != ExcludedKey)
       Found.Entries_.push_back(Known.Entry_);
   }
   return Found;
--- a/Source/Process/Configuration/ChangeLog.h
+++ b/Source/Process/Configuration/ChangeLog.h
@@ -35,7 +35,7 @@
 
   std::uint64_t last() const { return Last_; }
   /// Leaves out \p ExcludedKey, which is sent in another way.
-  Changes since(std::uint64_t Number, std::string_view Apart = {}) const;
+  Changes since(std::uint64_t Number, std::string_view ExcludedKey = {}) const;
   /// \returns a null pointer if \p Key is unknown or was removed.
   const KeyValue *find(const std::string &Key) const;
 
--- a/Source/Process/Configuration/ConfigurationSync.cpp
+++ b/Source/Process/Configuration/ConfigurationSync.cpp
@@ -87,10 +87,10 @@
   auto &Newest = NewestHeard_[Service];
   Newest = std::max(Newest, Version);
   auto Snapshot = Documents_.snapshot();
-  const ServiceConfiguration *InForce = Snapshot->service(Service);
+  const ServiceConfiguration *Active = Snapshot->service(Service);
   DocumentVersion Known =
-      InForce ? std::max(InForce->Version_, InForce->NotUnderstood_)
-              : DocumentVersion(0);
+      Active ? std::max(Active->Version_, Active->NotUnderstood_)
+             : DocumentVersion(0);
   if (Version > Known)
     Hooks_.AskPeer_(From, Service);
   noteLag();
@@ -99,9 +99,9 @@
 bool ConfigurationSync::upToDate() const {
   auto Snapshot = Documents_.snapshot();
   return std::ranges::all_of(NewestHeard_, [&](const auto &Item) {
-    const ServiceConfiguration *InForce = Snapshot->service(Item.first);
-    return InForce &&
-           std::max(InForce->Version_, InForce->NotUnderstood_) >= Item.second;
+    const ServiceConfiguration *Active = Snapshot->service(Item.first);
+    return Active &&
+           std::max(Active->Version_, Active->NotUnderstood_) >= Item.second;
   });
 }
 
--- a/Source/Process/Configuration/DirectoryView.cpp
+++ b/Source/Process/Configuration/DirectoryView.cpp
@@ -19,12 +19,12 @@
 }
 
 std::uint64_t digestOf(const RegisteredServer &Known) {
-  const auto &[Pool, Address, DataCenter, Leaving, Most, Process] =
+  const auto &[Pool, Address, DataCenter, Leaving, MaxInFlight, Process] =
       comparedFields(Known);
   return stableHash(fmt::format("{}\n{}\n{}\n{}\n{}\n{}\n{}", Pool.str(),
                                 Known.Server_.Name_.str(),
                                 formatEndpoint(Address), DataCenter.str(),
-                                Leaving, Most, Process.count()));
+                                Leaving, MaxInFlight, Process.count()));
 }
 
 } // namespace
@@ -76,12 +76,12 @@
 }
 
 bool DirectoryView::listed(const std::set<ServerName> &Names, BootTime Now) {
-  std::vector<ServerName> Gone;
+  std::vector<ServerName> Absent;
   for (const auto &[Name, Known] : Entries_)
     if (!Names.contains(Name))
-      Gone.push_back(Name);
+      Absent.push_back(Name);
   bool Changed = false;
-  for (const ServerName &Name : Gone)
+  for (const ServerName &Name : Absent)
     Changed |= missing(Name, Now);
   return Changed;
 }
--- a/Source/Process/Configuration/DocumentTransfer.cpp
+++ b/Source/Process/Configuration/DocumentTransfer.cpp
@@ -26,45 +26,45 @@
   return Texts_.empty() ? DocumentVersion() : Texts_.rbegin()->first;
 }
 
-const std::string &DocumentTexts::packed(DocumentVersion Held) {
-  auto [Found, Added] = Packed_.try_emplace(Held);
+const std::string &DocumentTexts::packed(DocumentVersion PrefixVersion) {
+  auto [Found, Added] = Packed_.try_emplace(PrefixVersion);
   if (!Added)
     return Found->second;
-  const std::string *Prefix = find(Held);
-  auto Made = packText(Texts_.rbegin()->second, Prefix ? *Prefix : "");
-  return Found->second = std::move(Made).value_or("");
+  const std::string *Prefix = find(PrefixVersion);
+  auto Compressed = packText(Texts_.rbegin()->second, Prefix ? *Prefix : "");
+  return Found->second = std::move(Compressed).value_or("");
 }
 
-wire::TextPartT DocumentTexts::part(const wire::TextAskT &Asked) {
-  wire::TextPartT Part;
-  Part.version = Asked.version;
-  Part.offset = Asked.offset;
-  DocumentVersion Wanted(Asked.version);
+wire::TextPartT DocumentTexts::part(const wire::TextAskT &Request) {
+  wire::TextPartT Chunk;
+  Chunk.version = Request.version;
+  Chunk.offset = Request.offset;
+  DocumentVersion Wanted(Request.version);
   if (Texts_.empty() || Wanted != newest())
-    return Part;
-  DocumentVersion Held(Asked.held_version);
+    return Chunk;
+  DocumentVersion Known(Request.held_version);
   DocumentVersion Prefix =
-      Held < Wanted && find(Held) ? Held : DocumentVersion();
+      Known < Wanted && find(Known) ? Known : DocumentVersion();
   const std::string &Whole = packed(Prefix);
-  if (Asked.offset >= Whole.size())
-    return Part;
-  Part.held_version = Prefix.count();
-  Part.size = static_cast<std::uint32_t>(Texts_.rbegin()->second.size());
-  Part.hash = NewestHash_;
-  Part.packed_size = static_cast<std::uint32_t>(Whole.size());
-  auto Bytes = std::string_view(Whole).substr(Asked.offset, TextPartBytes);
-  Part.bytes.assign(Bytes.begin(), Bytes.end());
-  return Part;
+  if (Request.offset >= Whole.size())
+    return Chunk;
+  Chunk.held_version = Prefix.count();
+  Chunk.size = static_cast<std::uint32_t>(Texts_.rbegin()->second.size());
+  Chunk.hash = NewestHash_;
+  Chunk.packed_size = static_cast<std::uint32_t>(Whole.size());
+  auto Bytes = std::string_view(Whole).substr(Request.offset, TextPartBytes);
+  Chunk.bytes.assign(Bytes.begin(), Bytes.end());
+  return Chunk;
 }
 
-bool DocumentTransfer::lacks(DocumentVersion Named,
-                             DocumentVersion Held) const {
-  return Named > std::max(Held, Finished_);
+bool DocumentTransfer::lacks(DocumentVersion Announced,
+                             DocumentVersion Known) const {
+  return Announced > std::max(Known, Finished_);
 }
 
 std::optional<wire::TextAskT>
 DocumentTransfer::named(DocumentVersion Wanted, std::optional<std::size_t> Size,
-                        DocumentVersion Held, TimePoint Now) {
+                        DocumentVersion Known, TimePoint Now) {
   if (Size && (*Size == 0 || *Size > MaxTextBytes))
     return std::nullopt;
   if (Wanted == Wanted_ && Now - AskedAt_ < PartTime)
@@ -73,63 +73,65 @@
     drop();
     Wanted_ = Wanted;
     Size_ = Size;
-    Held_ = Wanted == BrokenOnce_ ? DocumentVersion() : Held;
+    Held_ = Wanted == BrokenOnce_ ? DocumentVersion() : Known;
   }
   AskedAt_ = Now;
   return question();
 }
 
 wire::TextAskT DocumentTransfer::question() const {
-  wire::TextAskT Question;
-  Question.version = Wanted_.count();
-  Question.held_version = Held_.count();
-  Question.offset = static_cast<std::uint32_t>(Packed_.size());
-  return Question;
+  wire::TextAskT Request;
+  Request.version = Wanted_.count();
+  Request.held_version = Held_.count();
+  Request.offset = static_cast<std::uint32_t>(Packed_.size());
+  return Request;
 }
 
-DocumentTransfer::Step DocumentTransfer::received(const wire::TextPartT &Part,
-                                                  const DocumentTexts &Held,
+DocumentTransfer::Step DocumentTransfer::received(const wire::TextPartT &Chunk,
+                                                  const DocumentTexts &Texts,
                                                   TimePoint Now) {
   // Another text was requested since, or this chunk arrived twice.
   if (Wanted_ == DocumentVersion() ||
-      DocumentVersion(Part.version) != Wanted_ || Part.offset != Packed_.size())
+      DocumentVersion(Chunk.version) != Wanted_ ||
+      Chunk.offset != Packed_.size())
     return {};
   // The reader has a newer text, which it announces.
-  if (Part.size == 0) {
+  if (Chunk.size == 0) {
     drop();
     return {};
   }
   if (Packed_.empty()) {
-    Size_ = Size_.value_or(Part.size);
-    PackedSize_ = Part.packed_size;
-    Hash_ = Part.hash;
-    Prefix_ = DocumentVersion(Part.held_version);
+    Size_ = Size_.value_or(Chunk.size);
+    PackedSize_ = Chunk.packed_size;
+    Hash_ = Chunk.hash;
+    Prefix_ = DocumentVersion(Chunk.held_version);
   }
-  if (!fits(Part))
+  if (!fits(Chunk))
     return broken();
-  Packed_.append(Part.bytes.begin(), Part.bytes.end());
+  Packed_.append(Chunk.bytes.begin(), Chunk.bytes.end());
   if (Packed_.size() == PackedSize_)
-    return finish(Part, Held);
+    return finish(Chunk, Texts);
   AskedAt_ = Now;
   Step Next;
   Next.Ask_ = question();
   return Next;
 }
 
-bool DocumentTransfer::fits(const wire::TextPartT &Part) const {
-  bool AsBefore = Part.size == Size_ && Part.packed_size == PackedSize_ &&
-                  Part.hash == Hash_ &&
-                  DocumentVersion(Part.held_version) == Prefix_;
-  bool AsAsked = Prefix_ == Held_ || Prefix_ == DocumentVersion();
-  return AsBefore && AsAsked && !Part.bytes.empty() &&
-         Part.size <= MaxTextBytes && PackedSize_ <= mostPacked(*Size_) &&
-         Part.bytes.size() <= PackedSize_ - Packed_.size();
+bool DocumentTransfer::fits(const wire::TextPartT &Chunk) const {
+  bool AsBefore = Chunk.size == Size_ && Chunk.packed_size == PackedSize_ &&
+                  Chunk.hash == Hash_ &&
+                  DocumentVersion(Chunk.held_version) == Prefix_;
+  bool AsRequested = Prefix_ == Held_ || Prefix_ == DocumentVersion();
+  return AsBefore && AsRequested && !Chunk.bytes.empty() &&
+         Chunk.size <= MaxTextBytes && PackedSize_ <= mostPacked(*Size_) &&
+         Chunk.bytes.size() <= PackedSize_ - Packed_.size();
 }
 
-DocumentTransfer::Step DocumentTransfer::finish(const wire::TextPartT &Last,
-                                                const DocumentTexts &Held) {
-  const std::string *Prefix = Held.find(Prefix_);
-  auto Text = unpackText(Packed_, Last.size, Prefix ? *Prefix : "");
+DocumentTransfer::Step
+DocumentTransfer::finish(const wire::TextPartT &LastChunk,
+                         const DocumentTexts &Texts) {
+  const std::string *Prefix = Texts.find(Prefix_);
+  auto Text = unpackText(Packed_, LastChunk.size, Prefix ? *Prefix : "");
   if (!Text || stableHash(*Text) != Hash_)
     return broken();
   Finished_ = Wanted_;
--- a/Source/Process/Configuration/DocumentTransfer.h
+++ b/Source/Process/Configuration/DocumentTransfer.h
@@ -43,16 +43,16 @@
   /// The newest stored version; 0 if there is none.
   DocumentVersion newest() const;
   /// The requested chunk; without bytes if the text is not available.
-  wire::TextPartT part(const wire::TextAskT &Asked);
+  wire::TextPartT part(const wire::TextAskT &Request);
 
 private:
   /// The newest text and two earlier ones, since changes may come seconds
   /// apart.
   static constexpr std::size_t MostTexts = 3;
 
-  /// The newest text, compressed with the text \p Held as prefix. Compressed
-  /// once for all daemons that ask.
-  const std::string &packed(DocumentVersion Held);
+  /// The newest text, compressed with the text \p PrefixVersion as prefix.
+  /// Compressed once for all daemons that ask.
+  const std::string &packed(DocumentVersion PrefixVersion);
 
   std::map<DocumentVersion, std::string> Texts_;
   std::uint64_t NewestHash_ = 0;
@@ -74,17 +74,17 @@
     bool Broken_ = false;
   };
 
-  /// True if \p Announced is newer than \p Held and than every text that was
+  /// True if \p Announced is newer than \p Known and than every text that was
   /// received.
-  bool lacks(DocumentVersion Named, DocumentVersion Held) const;
+  bool lacks(DocumentVersion Announced, DocumentVersion Known) const;
   /// Called when the reader announced a text that this daemon lacks. A newer
   /// text replaces the one in transfer. \p Size is unset if only the version
   /// was announced.
   /// \returns the request to send, if any.
   std::optional<wire::TextAskT> named(DocumentVersion Wanted,
                                       std::optional<std::size_t> Size,
-                                      DocumentVersion Held, TimePoint Now);
-  Step received(const wire::TextPartT &Part, const DocumentTexts &Held,
+                                      DocumentVersion Known, TimePoint Now);
+  Step received(const wire::TextPartT &Chunk, const DocumentTexts &Texts,
                 TimePoint Now);
   /// Called when the reader has changed or is gone.
   void drop();
@@ -99,8 +99,8 @@
   static constexpr std::chrono::milliseconds PartTime{1500};
 
   wire::TextAskT question() const;
-  bool fits(const wire::TextPartT &Part) const;
-  Step finish(const wire::TextPartT &Last, const DocumentTexts &Held);
+  bool fits(const wire::TextPartT &Chunk) const;
+  Step finish(const wire::TextPartT &LastChunk, const DocumentTexts &Texts);
   Step broken();
 
   DocumentVersion Wanted_;
--- a/Source/Process/Configuration/FreshnessLease.h
+++ b/Source/Process/Configuration/FreshnessLease.h
@@ -47,10 +47,10 @@
   /// Records that a configuration newer than the active one has been known at
   /// least since \p Since.
   void newerKnown(BootTime Since) {
-    auto Told = Since.time_since_epoch().count();
+    auto Reported = Since.time_since_epoch().count();
     auto Known = NewerSince_.load();
-    while ((Known == Never || Told < Known) &&
-           !NewerSince_.compare_exchange_weak(Known, Told)) {
+    while ((Known == Never || Reported < Known) &&
+           !NewerSince_.compare_exchange_weak(Known, Reported)) {
     }
   }
   /// Records that the newest known configuration is active.
--- a/Source/Process/Configuration/HeardVersions.h
+++ b/Source/Process/Configuration/HeardVersions.h
@@ -36,15 +36,15 @@
 
   explicit HeardVersions(Options Settings) : Options_(Settings) {}
 
-  void heard(const VmId &By, DocumentVersion Version, DocumentVersion InForce,
+  void heard(const VmId &Peer, DocumentVersion Version, DocumentVersion Active,
              TimePoint Now);
-  /// Called when \p By does not have the announced version, or did not deliver
-  /// it.
-  void notHandedOver(const VmId &By, TimePoint Now);
+  /// Called when \p Peer does not have the announced version, or did not
+  /// deliver it.
+  void notHandedOver(const VmId &Peer, TimePoint Now);
   /// The newest announced version that is not active, until it is given up.
-  std::optional<Named> missing(DocumentVersion InForce, TimePoint Now);
+  std::optional<Named> missing(DocumentVersion Active, TimePoint Now);
   /// The same, but only once it is time to ask for it.
-  std::optional<Named> due(DocumentVersion InForce, TimePoint Now);
+  std::optional<Named> due(DocumentVersion Active, TimePoint Now);
 
 private:
   Options Options_;
--- a/Source/Process/Configuration/PeerFollower.cpp
+++ b/Source/Process/Configuration/PeerFollower.cpp
@@ -19,14 +19,14 @@
 /// bytes become available one iteration later. Without this second check it
 /// would mistake its own pause for a silent reader, and after two of these read
 /// the whole service, over a link that may be full.
-constexpr milliseconds LookAgainTime{1};
+constexpr milliseconds RecheckTime{1};
 
 /// Rounded up, as in messages.
 std::uint32_t millisSince(BootTime Moment) {
   auto Age = std::chrono::ceil<milliseconds>(BootClock::now() - Moment);
-  constexpr std::int64_t Most = std::numeric_limits<std::uint32_t>::max();
+  constexpr std::int64_t Max = std::numeric_limits<std::uint32_t>::max();
   return static_cast<std::uint32_t>(
-      std::clamp<std::int64_t>(Age.count(), 0, Most));
+      std::clamp<std::int64_t>(Age.count(), 0, Max));
 }
 
 } // namespace
@@ -58,7 +58,7 @@
   if (!Awaiting_ || !Reader_)
     return choose();
   if (!std::exchange(Overdue_, true))
-    return schedule(LookAgainTime);
+    return schedule(RecheckTime);
   passOver(VmId(*Reader_), Fault::Silent, "no answer");
 }
 
@@ -129,19 +129,19 @@
 }
 
 void PeerFollower::ask() {
-  wire::FollowT Question;
-  Question.sequence = ++Sequence_;
-  Question.incarnation = ReaderProcess_;
-  Question.number = ReaderNumber_;
-  Question.text_apart = true;
-  Question.digest = View_.digest();
+  wire::FollowT Request;
+  Request.sequence = ++Sequence_;
+  Request.incarnation = ReaderProcess_;
+  Request.number = ReaderNumber_;
+  Request.text_apart = true;
+  Request.digest = View_.digest();
   Awaiting_ = true;
   Overdue_ = false;
   Unanswered_.insert(*Reader_);
   AskedAt_ = BootClock::now();
   schedule(Options_.AnswerTime_);
   // This comes last, since a link that can't be opened may be reported at once.
-  Hooks_.Send_(VmId(*Reader_), encodeMessage(std::move(Question)));
+  Hooks_.Send_(VmId(*Reader_), encodeMessage(std::move(Request)));
 }
 
 void PeerFollower::passOver(const VmId &Reader, Fault Kind,
@@ -171,135 +171,137 @@
   Service_.resume(AfterOutage);
 }
 
-void PeerFollower::onState(const VmId &From, const wire::StateT &Told) {
+void PeerFollower::onState(const VmId &From, const wire::StateT &State) {
   Unanswered_.erase(From);
   if (Reader_ != From)
     return;
-  bool Answer = Told.sequence == Sequence_ && Awaiting_;
-  if (Told.sequence != 0 && !Answer)
+  bool Answer = State.sequence == Sequence_ && Awaiting_;
+  if (State.sequence != 0 && !Answer)
     return;
-  milliseconds Age(Told.age_ms);
+  milliseconds Age(State.age_ms);
   SawOldState_ = Age > (Role_ == StoreRole::Alone ? Options_.OldestAgeOfAlone_
                                                   : Options_.OldestAge_);
   if (SawOldState_)
     return passOver(From, Fault::Useless, "it has lost the service");
-  if (!Told.reads_service)
+  if (!State.reads_service)
     return passOver(From, Fault::Useless, "it does not read the service");
-  bool Same = Told.incarnation == ReaderProcess_;
-  bool GoesOn = Told.same_digest == 0
-                    ? Same && Told.after <= ReaderNumber_
-                    : Answer && Told.same_digest == View_.digest();
-  if (!Told.complete && !GoesOn) {
+  bool Same = State.incarnation == ReaderProcess_;
+  bool Continues = State.same_digest == 0
+                       ? Same && State.after <= ReaderNumber_
+                       : Answer && State.same_digest == View_.digest();
+  if (!State.complete && !Continues) {
     // An earlier message of the reader was lost with a link. The next answer
     // has all changes since the requested number.
     if (!Answer)
       return;
     return passOver(From, Fault::Useless, "its answer has a gap");
   }
-  StorePosition Reached{StoreEra(Told.era), Revision(Told.revision)};
-  auto Changes = changesOf(Told);
+  StorePosition Reached{StoreEra(State.era), Revision(State.revision)};
+  auto Changes = changesOf(State);
   if (!Changes)
     return passOver(From, Fault::Useless, Changes.error().Detail_);
-  if (!View_.follow(*Changes, Reached, Revision(Told.era_first)))
+  if (!View_.follow(*Changes, Reached, Revision(State.era_first)))
     return passOver(From, Fault::Useless, "it is behind");
   Service_.planDrops();
-  ReaderProcess_ = Told.incarnation;
-  ReaderNumber_ = Told.number;
-  noteLag(Told);
+  ReaderProcess_ = State.incarnation;
+  ReaderNumber_ = State.number;
+  noteLag(State);
   if (Answer)
-    onAnswer(From, Told);
-  askForText(Told);
+    onAnswer(From, State);
+  askForText(State);
 }
 
-void PeerFollower::onAnswer(const VmId &From, const wire::StateT &Told) {
+void PeerFollower::onAnswer(const VmId &From, const wire::StateT &State) {
   Awaiting_ = false;
   LastAnswer_ = steady_clock::now();
-  View_.heardAt(AskedAt_ - milliseconds(Told.age_ms));
-  Service_.entryMissing(Told.lacks_entry);
+  View_.heardAt(AskedAt_ - milliseconds(State.age_ms));
+  Service_.entryMissing(State.lacks_entry);
   // A reader that lacks the version active here can't confirm that it is the
   // newest.
-  bool NamesNone = Told.text_version == 0;
-  if (NamesNone || DocumentVersion(Told.text_version) == View_.version())
-    Freshness_.renew(AskedAt_ - milliseconds(Told.age_ms) -
-                     milliseconds(Told.unconfirmed_ms));
+  bool NamesNone = State.text_version == 0;
+  if (NamesNone || DocumentVersion(State.text_version) == View_.version())
+    Freshness_.renew(AskedAt_ - milliseconds(State.age_ms) -
+                     milliseconds(State.unconfirmed_ms));
   bool Spare = Role_ == StoreRole::Spare;
   if (Spare && !Service_.paused()) {
     logEvent(
         LogCategory::Process, spdlog::level::info, "following",
-        {{"reader", From.str()}, {"revision", std::to_string(Told.revision)}});
+        {{"reader", From.str()}, {"revision", std::to_string(State.revision)}});
     Service_.pause();
   }
   schedule(Options_.AskTime_);
 }
 
-bool PeerFollower::lacksTextOf(const wire::StateT &Told) const {
-  DocumentVersion Held = std::max(View_.version(), Texts_.newest());
-  return Transfer_.lacks(DocumentVersion(Told.text_version), Held);
+bool PeerFollower::lacksTextOf(const wire::StateT &State) const {
+  DocumentVersion Newest = std::max(View_.version(), Texts_.newest());
+  return Transfer_.lacks(DocumentVersion(State.text_version), Newest);
 }
 
-void PeerFollower::noteLag(const wire::StateT &Told) {
-  if (!lacksTextOf(Told))
+void PeerFollower::noteLag(const wire::StateT &State) {
+  if (!lacksTextOf(State))
     return Freshness_.newestInForce();
   BootTime Now = BootClock::now();
-  Freshness_.newerKnown(Now - milliseconds(Told.text_age_ms));
-  DocumentVersion Named(Told.text_version);
-  if (!Freshness_.overdue(Now) || std::exchange(OverdueText_, Named) == Named)
+  Freshness_.newerKnown(Now - milliseconds(State.text_age_ms));
+  DocumentVersion Announced(State.text_version);
+  if (!Freshness_.overdue(Now) ||
+      std::exchange(OverdueText_, Announced) == Announced)
     return;
   auto Behind = duration_cast<milliseconds>(Freshness_.behind(Now));
   logEvent(LogCategory::Process, spdlog::level::warn, "configuration-overdue",
            {{"reader", Reader_->str()},
-            {"version", std::to_string(Named.count())},
-            {"size", std::to_string(Told.text_size)},
+            {"version", std::to_string(Announced.count())},
+            {"size", std::to_string(State.text_size)},
             {"received", std::to_string(Transfer_.received())},
             {"newer_known_ms", std::to_string(Behind.count())}});
 }
 
-void PeerFollower::askForText(const wire::StateT &Told) {
-  if (!lacksTextOf(Told))
+void PeerFollower::askForText(const wire::StateT &State) {
+  if (!lacksTextOf(State))
     return;
-  DocumentVersion Named(Told.text_version);
-  if (Told.text_size > MaxTextBytes && std::exchange(TooLong_, Named) != Named)
+  DocumentVersion Announced(State.text_version);
+  if (State.text_size > MaxTextBytes &&
+      std::exchange(TooLong_, Announced) != Announced)
     logEvent(LogCategory::Process, spdlog::level::err, "configuration-too-long",
-             {{"version", std::to_string(Named.count())},
-              {"size", std::to_string(Told.text_size)}});
-  auto Question = Transfer_.named(Named, Told.text_size, Texts_.newest(),
-                                  steady_clock::now());
-  if (Question)
-    Hooks_.Send_(VmId(*Reader_), encodeMessage(std::move(*Question)));
+             {{"version", std::to_string(Announced.count())},
+              {"size", std::to_string(State.text_size)}});
+  auto Request = Transfer_.named(Announced, State.text_size, Texts_.newest(),
+                                 steady_clock::now());
+  if (Request)
+    Hooks_.Send_(VmId(*Reader_), encodeMessage(std::move(*Request)));
 }
 
-void PeerFollower::onTextPart(const VmId &From, const wire::TextPartT &Part) {
-  DocumentVersion Version(Part.version);
+void PeerFollower::onTextPart(const VmId &From, const wire::TextPartT &Chunk) {
+  DocumentVersion Version(Chunk.version);
   if (Reader_ == From && Transfer_.wanted() == Version)
-    return takeStep(From, Part,
-                    Transfer_.received(Part, Texts_, steady_clock::now()));
+    return takeStep(From, Chunk,
+                    Transfer_.received(Chunk, Texts_, steady_clock::now()));
   if (HeardFrom_ == From && HeardTransfer_.wanted() == Version)
-    onHeardPart(Part);
+    onHeardPart(Chunk);
 }
 
-void PeerFollower::onHeardPart(const wire::TextPartT &Part) {
+void PeerFollower::onHeardPart(const wire::TextPartT &Chunk) {
   VmId From = *HeardFrom_;
-  if (Part.size == 0) {
+  if (Chunk.size == 0) {
     Heard_.notHandedOver(From, steady_clock::now());
     HeardTransfer_.drop();
     return;
   }
   // Only a text that arrives proves that the version exists.
   Freshness_.newerKnown(BootClock::now());
-  takeStep(From, Part,
-           HeardTransfer_.received(Part, Texts_, steady_clock::now()));
+  takeStep(From, Chunk,
+           HeardTransfer_.received(Chunk, Texts_, steady_clock::now()));
 }
 
-void PeerFollower::takeStep(const VmId &From, const wire::TextPartT &Part,
+void PeerFollower::takeStep(const VmId &From, const wire::TextPartT &Chunk,
                             DocumentTransfer::Step Next) {
   if (Next.Broken_)
     logEvent(LogCategory::Process, spdlog::level::warn, "configuration-broken",
              {{"from", From.str()},
-              {"version", std::to_string(Part.version)},
-              {"size", std::to_string(Part.size)}});
+              {"version", std::to_string(Chunk.version)},
+              {"size", std::to_string(Chunk.size)}});
   if (Next.Ask_)
     Hooks_.Send_(From, encodeMessage(std::move(*Next.Ask_)));
-  DocumentVersion Version(Part.version);
+  DocumentVersion Version(Chunk.version);
   if (!Next.Text_ || Version <= View_.version())
     return;
   if (!View_.takeText(Version, std::move(*Next.Text_)))
@@ -326,14 +328,14 @@
   if (HeardFrom_ != Wanted->By_)
     HeardTransfer_.drop();
   HeardFrom_ = Wanted->By_;
-  auto Question = HeardTransfer_.named(Wanted->Version_, std::nullopt,
-                                       Texts_.newest(), Now);
-  if (!Question)
+  auto Request = HeardTransfer_.named(Wanted->Version_, std::nullopt,
+                                      Texts_.newest(), Now);
+  if (!Request)
     return;
   logEvent(LogCategory::Process, spdlog::level::info, "asking-for-version",
            {{"from", Wanted->By_.str()},
             {"version", std::to_string(Wanted->Version_.count())}});
-  Hooks_.Send_(Wanted->By_, encodeMessage(std::move(*Question)));
+  Hooks_.Send_(Wanted->By_, encodeMessage(std::move(*Request)));
 }
 
 /// Stores the active text, which serves as compression prefix with whichever
@@ -360,71 +362,71 @@
   return Reader_.has_value() || patient(steady_clock::now());
 }
 
-void PeerFollower::nameText(wire::StateT &Told) const {
+void PeerFollower::nameText(wire::StateT &State) const {
   const KeyValue *Known = View_.log().find(View_.layout().ConfigurationKey_);
   if (!Known)
     return;
-  Told.text_version = View_.version().count();
-  Told.text_size = Known->Value_.size();
-  Told.text_age_ms = millisSince(View_.configurationReadAt());
+  State.text_version = View_.version().count();
+  State.text_size = Known->Value_.size();
+  State.text_age_ms = millisSince(View_.configurationReadAt());
 }
 
 wire::StateT PeerFollower::standing() const {
-  wire::StateT Told;
-  Told.incarnation = Self_.count();
-  Told.number = View_.log().last();
-  Told.era = View_.position().Era_.count();
-  Told.revision = View_.position().Revision_.count();
+  wire::StateT State;
+  State.incarnation = Self_.count();
+  State.number = View_.log().last();
+  State.era = View_.position().Era_.count();
+  State.revision = View_.position().Revision_.count();
   if (View_.eraStart())
-    Told.era_first = View_.eraStart()->First_.Revision_.count();
-  Told.age_ms = millisSince(Service_.reachedAt());
+    State.era_first = View_.eraStart()->First_.Revision_.count();
+  State.age_ms = millisSince(Service_.reachedAt());
   std::uint32_t Confirmed = millisSince(Freshness_.confirmedAt());
-  Told.unconfirmed_ms = Confirmed - std::min(Confirmed, Told.age_ms);
-  Told.reads_service = !Service_.paused() && Service_.platformReachable();
-  return Told;
+  State.unconfirmed_ms = Confirmed - std::min(Confirmed, State.age_ms);
+  State.reads_service = !Service_.paused() && Service_.platformReachable();
+  return State;
 }
 
 /// A daemon of an earlier release supports neither separate texts nor
 /// compressed entries.
-void PeerFollower::addChanges(std::uint64_t After, bool Apart,
-                              wire::StateT &Told) {
-  std::string TextKey = Apart ? View_.layout().ConfigurationKey_ : "";
+void PeerFollower::addChanges(std::uint64_t After, bool SeparateText,
+                              wire::StateT &State) {
+  std::string TextKey = SeparateText ? View_.layout().ConfigurationKey_ : "";
   ChangeLog::Changes Changes = View_.told(After, TextKey);
-  Told.after = After;
-  Told.complete = Changes.Complete_;
-  Told.unsure = Changes.Unsure_;
-  Entries_.put(Changes, Apart, After, Told);
+  State.after = After;
+  State.complete = Changes.Complete_;
+  State.unsure = Changes.Unsure_;
+  Entries_.put(Changes, SeparateText, After, State);
 }
 
 void PeerFollower::tell(const VmId &To, std::uint32_t Sequence,
                         std::uint64_t After, bool SameServers) {
   Follower &Known = Followers_[To];
-  wire::StateT Told = standing();
+  wire::StateT State = standing();
   if (Known.Apart_)
-    nameText(Told);
+    nameText(State);
   if (SameServers)
-    Told.same_digest = View_.digest();
+    State.same_digest = View_.digest();
   else
-    addChanges(After, Known.Apart_, Told);
-  Told.sequence = Sequence;
-  Told.lacks_entry = !View_.hasDaemon(To);
-  Known.Number_ = Told.number;
-  Hooks_.Reply_(To, encodeMessage(std::move(Told)));
+    addChanges(After, Known.Apart_, State);
+  State.sequence = Sequence;
+  State.lacks_entry = !View_.hasDaemon(To);
+  Known.Number_ = State.number;
+  Hooks_.Reply_(To, encodeMessage(std::move(State)));
 }
 
 /// A daemon that followed another reader before usually has the same servers
 /// already, and then receives only their digest.
-void PeerFollower::onFollow(const VmId &From, const wire::FollowT &Asked) {
+void PeerFollower::onFollow(const VmId &From, const wire::FollowT &Request) {
   Followers_[From].LastAsked_ = steady_clock::now();
-  Followers_[From].Apart_ = Asked.text_apart;
-  bool GoesOn = Asked.incarnation == Self_.count();
-  bool SameServers = !GoesOn && Asked.text_apart && Asked.digest != 0 &&
-                     Asked.digest == View_.digest();
-  tell(From, Asked.sequence, GoesOn ? Asked.number : 0, SameServers);
+  Followers_[From].Apart_ = Request.text_apart;
+  bool Continues = Request.incarnation == Self_.count();
+  bool SameServers = !Continues && Request.text_apart && Request.digest != 0 &&
+                     Request.digest == View_.digest();
+  tell(From, Request.sequence, Continues ? Request.number : 0, SameServers);
 }
 
-void PeerFollower::onTextAsk(const VmId &From, const wire::TextAskT &Asked) {
-  Hooks_.Reply_(From, encodeMessage(Texts_.part(Asked)));
+void PeerFollower::onTextAsk(const VmId &From, const wire::TextAskT &Request) {
+  Hooks_.Reply_(From, encodeMessage(Texts_.part(Request)));
 }
 
 void PeerFollower::onChanged() {
--- a/Source/Process/Configuration/PeerFollower.h
+++ b/Source/Process/Configuration/PeerFollower.h
@@ -97,8 +97,8 @@
   void stop() { Timer_.cancel(); }
 
   // For use as a follower.
-  void onState(const VmId &From, const wire::StateT &Told);
-  void onTextPart(const VmId &From, const wire::TextPartT &Part);
+  void onState(const VmId &From, const wire::StateT &State);
+  void onTextPart(const VmId &From, const wire::TextPartT &Chunk);
   void onLinkDown(const VmId &Reader);
   /// Gossip reports that this daemon has that version active.
   void onVersionHeard(const VmId &From, DocumentVersion Version);
@@ -113,8 +113,8 @@
   const std::optional<VmId> &reader() const { return Reader_; }
 
   // For use as a reader.
-  void onFollow(const VmId &From, const wire::FollowT &Asked);
-  void onTextAsk(const VmId &From, const wire::TextAskT &Asked);
+  void onFollow(const VmId &From, const wire::FollowT &Request);
+  void onTextAsk(const VmId &From, const wire::TextAskT &Request);
   /// Sends changes to followers.
   void onChanged();
   std::size_t followers() const { return Followers_.size(); }
@@ -141,23 +141,23 @@
   /// True if the service should not be read for now, although no reader has it.
   bool patient(TimePoint Now) const;
   void readService(bool AfterOutage);
-  void onAnswer(const VmId &From, const wire::StateT &Told);
+  void onAnswer(const VmId &From, const wire::StateT &State);
   /// True if the reader has a configuration newer than any that is here.
-  bool lacksTextOf(const wire::StateT &Told) const;
+  bool lacksTextOf(const wire::StateT &State) const;
   /// Records since when the reader has had a configuration that is not here.
-  void noteLag(const wire::StateT &Told);
-  void askForText(const wire::StateT &Told);
+  void noteLag(const wire::StateT &State);
+  void askForText(const wire::StateT &State);
   void askForHeardVersion();
   /// Handles a chunk of a text that gossip has announced.
-  void onHeardPart(const wire::TextPartT &Part);
+  void onHeardPart(const wire::TextPartT &Chunk);
   /// Carries out what follows from a chunk of a text.
-  void takeStep(const VmId &From, const wire::TextPartT &Part,
+  void takeStep(const VmId &From, const wire::TextPartT &Chunk,
                 DocumentTransfer::Step Next);
   void keepText();
   /// This daemon's state, without changes.
   wire::StateT standing() const;
-  void addChanges(std::uint64_t After, bool Apart, wire::StateT &Told);
-  void nameText(wire::StateT &Told) const;
+  void addChanges(std::uint64_t After, bool SeparateText, wire::StateT &State);
+  void nameText(wire::StateT &State) const;
   void forgetFollowers();
   void tell(const VmId &To, std::uint32_t Sequence, std::uint64_t After,
             bool SameServers);
--- a/Source/Process/Configuration/StateEntries.cpp
+++ b/Source/Process/Configuration/StateEntries.cpp
@@ -9,13 +9,14 @@
 namespace {
 
 /// Fewer entries are not worth compressing.
-constexpr std::size_t LeastPacked = 32;
+constexpr std::size_t MinPackedEntries = 32;
 /// Larger states are rejected, so that a wrong size can't exhaust the memory.
-constexpr std::size_t MostUnpacked = 8 * 1024 * 1024;
+constexpr std::size_t MaxUnpackedBytes = 8 * 1024 * 1024;
 /// Key of complete changes in the cache; higher than any number of a log.
-constexpr std::uint64_t Complete = std::numeric_limits<std::uint64_t>::max();
+constexpr std::uint64_t CompleteChanges =
+    std::numeric_limits<std::uint64_t>::max();
 
-void addEntries(const std::vector<KeyValue> &Entries, wire::StateT &Told) {
+void addEntries(const std::vector<KeyValue> &Entries, wire::StateT &State) {
   for (const KeyValue &Entry : Entries) {
     auto Added = std::make_unique<wire::StateEntryT>();
     Added->key = Entry.Key_;
@@ -23,65 +24,66 @@
     Added->revision = Entry.Position_.Revision_.count();
     Added->era = Entry.Position_.Era_.count();
     Added->deleted = Entry.Deleted_;
-    Told.entries.push_back(std::move(Added));
+    State.entries.push_back(std::move(Added));
   }
 }
 
-void readEntries(const wire::StateT &Told, std::vector<KeyValue> &Entries) {
-  for (const auto &Entry : Told.entries)
+void readEntries(const wire::StateT &State, std::vector<KeyValue> &Entries) {
+  for (const auto &Entry : State.entries)
     Entries.push_back({Entry->key,
                        Entry->value,
                        {StoreEra(Entry->era), Revision(Entry->revision)},
                        Entry->deleted});
 }
 
-Result<wire::EnvelopeT> unpacked(const wire::StateT &Told) {
-  if (Told.packed_from > MostUnpacked)
+Result<wire::EnvelopeT> unpacked(const wire::StateT &State) {
+  if (State.packed_from > MaxUnpackedBytes)
     return Failure{ResultCode::MalformedRequest, "a state is too long"};
-  std::string_view Bytes(reinterpret_cast<const char *>(Told.packed.data()),
-                         Told.packed.size());
-  auto Inner = unpackText(Bytes, Told.packed_from, "");
+  std::string_view Bytes(reinterpret_cast<const char *>(State.packed.data()),
+                         State.packed.size());
+  auto Inner = unpackText(Bytes, State.packed_from, "");
   if (!Inner)
-    return Failure{ResultCode::MalformedRequest, "a state is not packed well"};
+    return Failure{ResultCode::MalformedRequest,
+                   "a state can't be decompressed"};
   return decodeMessage(*Inner);
 }
 
 } // namespace
 
 void StateEntries::put(const ChangeLog::Changes &Changes, bool MayPack,
-                       std::uint64_t After, wire::StateT &Told) {
-  if (!MayPack || Changes.Entries_.size() < LeastPacked)
-    return addEntries(Changes.Entries_, Told);
-  if (std::exchange(Last_, Told.number) != Told.number)
+                       std::uint64_t After, wire::StateT &State) {
+  if (!MayPack || Changes.Entries_.size() < MinPackedEntries)
+    return addEntries(Changes.Entries_, State);
+  if (std::exchange(Last_, State.number) != State.number)
     Packed_.clear();
-  auto &Kept = Packed_[Changes.Complete_ ? Complete : After];
-  if (!Kept) {
+  auto &Cached = Packed_[Changes.Complete_ ? CompleteChanges : After];
+  if (!Cached) {
     wire::StateT Inner;
     addEntries(Changes.Entries_, Inner);
     std::string Bytes = encodeMessage(std::move(Inner));
-    auto Shorter = packText(Bytes, "");
-    if (!Shorter)
-      return addEntries(Changes.Entries_, Told);
-    Kept = std::make_shared<const Packed>(
-        Packed{{Shorter->begin(), Shorter->end()},
+    auto Compressed = packText(Bytes, "");
+    if (!Compressed)
+      return addEntries(Changes.Entries_, State);
+    Cached = std::make_shared<const Packed>(
+        Packed{{Compressed->begin(), Compressed->end()},
                static_cast<std::uint32_t>(Bytes.size())});
   }
-  Told.packed = Kept->Bytes_;
-  Told.packed_from = Kept->From_;
+  State.packed = Cached->Bytes_;
+  State.packed_from = Cached->From_;
 }
 
-Result<ChangeLog::Changes> changesOf(const wire::StateT &Told) {
+Result<ChangeLog::Changes> changesOf(const wire::StateT &State) {
   ChangeLog::Changes Changes;
-  Changes.Complete_ = Told.complete;
-  Changes.Unsure_ = Told.unsure;
-  readEntries(Told, Changes.Entries_);
-  if (Told.packed.empty())
+  Changes.Complete_ = State.complete;
+  Changes.Unsure_ = State.unsure;
+  readEntries(State, Changes.Entries_);
+  if (State.packed.empty())
     return Changes;
-  auto Inner = unpacked(Told);
+  auto Inner = unpacked(State);
   if (!Inner)
     return Inner.error();
-  if (const auto *State = Inner->body.AsState())
-    readEntries(*State, Changes.Entries_);
+  if (const auto *Unpacked = Inner->body.AsState())
+    readEntries(*Unpacked, Changes.Entries_);
   return Changes;
 }
 
--- a/Source/Process/Configuration/StateEntries.h
+++ b/Source/Process/Configuration/StateEntries.h
@@ -20,7 +20,7 @@
   /// reach; \p After is the number that they follow. \p MayPack: the receiver
   /// can read compressed entries.
   void put(const ChangeLog::Changes &Changes, bool MayPack, std::uint64_t After,
-           wire::StateT &Told);
+           wire::StateT &State);
 
 private:
   struct Packed {
@@ -36,6 +36,6 @@
 
 /// Decodes the changes in a message.
 /// \returns MalformedRequest if the compressed entries can't be read.
-Result<ChangeLog::Changes> changesOf(const wire::StateT &Told);
+Result<ChangeLog::Changes> changesOf(const wire::StateT &State);
 
 } // namespace samphireshunt
--- a/Source/Process/Configuration/StoreEraHeader.cpp
+++ b/Source/Process/Configuration/StoreEraHeader.cpp
@@ -14,7 +14,7 @@
   auto Parsed = std::from_chars(Text.data(), End, Number);
   if (Parsed.ec != std::errc() || Parsed.ptr != End)
     return Failure{ResultCode::BadStoreEra,
-                   "'" + Text + "' is no whole number of 64 bits"};
+                   "'" + Text + "' is not an unsigned 64-bit integer"};
   return StoreEra(Number);
 }
 
--- a/Source/Process/Configuration/StoreFollower.cpp
+++ b/Source/Process/Configuration/StoreFollower.cpp
@@ -138,25 +138,25 @@
       continue;
     }
     bool WasLost = !platformReachable();
-    auto Present = co_await confirm();
-    Wait = Present ? confirmTime() : milliseconds(0);
-    if (!Present) {
-      Failure Cause = Present.error();
+    auto Confirmed = co_await confirm();
+    Wait = Confirmed ? confirmTime() : milliseconds(0);
+    if (!Confirmed) {
+      Failure Cause = Confirmed.error();
       co_await failed(Cause);
       continue;
     }
     succeeded();
-    if (!Paused_ && Present->Era_ != After_.Era_) {
+    if (!Paused_ && Confirmed->Era_ != After_.Era_) {
       startWatch();
       continue;
     }
-    bool Behind = After_ < *Present;
+    bool Behind = After_ < *Confirmed;
     if (Behind)
       co_await sleep(Options_.BehindTime_);
-    bool Deaf = Behind && After_ < *Present;
-    if (!Paused_ && Deaf)
+    bool Stalled = Behind && After_ < *Confirmed;
+    if (!Paused_ && Stalled)
       noteLargeAnswer();
-    if (!Paused_ && (WasLost || Deaf) && !answerComes())
+    if (!Paused_ && (WasLost || Stalled) && !answerComes())
       startWatch();
   }
 }
@@ -203,10 +203,10 @@
     Freshness_.renew(SentAt);
 }
 
-Result<void> StoreFollower::noteReached(const StorePosition &Told) {
-  auto Reached = View_.reached(Told);
+Result<void> StoreFollower::noteReached(const StorePosition &Position) {
+  auto Reached = View_.reached(Position);
   // Positions applied in another era do not count as applied in this one.
-  if (Reached && Told.Era_ != After_.Era_) {
+  if (Reached && Position.Era_ != After_.Era_) {
     Unproven_.clear();
     NeedsList_ = true;
   }
@@ -270,8 +270,8 @@
     logEvent(LogCategory::Process, spdlog::level::warn, "platform-lost",
              {{"detail", Cause.Detail_}});
   View_.outageBegan();
-  constexpr int MostDoublings = 5;
-  int Doublings = std::min(Failures_ - 2, MostDoublings);
+  constexpr int MaxDoublings = 5;
+  int Doublings = std::min(Failures_ - 2, MaxDoublings);
   co_await sleep(std::min(firstPause() * (1 << Doublings), longestPause()));
 }
 
@@ -324,7 +324,7 @@
   // some. Accepting that revision would send work to a server that left,
   // permanently.
   if (Changes->Entries_.empty() && After_ < Changes->Position_)
-    co_return Failure{ResultCode::HistoryLost, "a watch did not tell changes"};
+    co_return Failure{ResultCode::HistoryLost, "a watch omitted changes"};
   for (const KeyValue &Entry : Changes->Entries_)
     View_.apply(Entry);
   After_ = Changes->Position_;
--- a/Source/Process/Configuration/StoreFollower.h
+++ b/Source/Process/Configuration/StoreFollower.h
@@ -113,7 +113,7 @@
   Awaitable<Result<void>> watchOnce(std::uint64_t Generation);
   Awaitable<void> registerSelf();
   Awaitable<void> registerAgain();
-  Result<void> noteReached(const StorePosition &Told);
+  Result<void> noteReached(const StorePosition &Position);
   std::string ownKey() const;
   /// The write of this daemon's own entry, expected to be at \p Expected.
   KeyValueWrite ownEntry(const StorePosition &Expected) const;
--- a/Source/Process/Configuration/StoreReaders.cpp
+++ b/Source/Process/Configuration/StoreReaders.cpp
@@ -15,7 +15,7 @@
 constexpr std::string_view ChoiceName = "store-readers";
 
 /// Minimum in fleets that have readers, but at most half of a very small fleet.
-constexpr std::size_t LeastReaders = 3;
+constexpr std::size_t MinReaders = 3;
 
 /// The link speed on which a reader's number of followers is based, in Mbit/s.
 constexpr std::size_t WeakLinkMbps = 10;
@@ -45,7 +45,7 @@
     return Served > Sorted.size();
   });
   auto Count = static_cast<std::size_t>(Enough - Sorted.begin());
-  return std::max(Count, std::min(LeastReaders, Sorted.size() / 2));
+  return std::max(Count, std::min(MinReaders, Sorted.size() / 2));
 }
 
 /// Readers in the daemon's own data centre come first. Among these each daemon
--- a/Source/Process/Configuration/StoreView.cpp
+++ b/Source/Process/Configuration/StoreView.cpp
@@ -14,18 +14,18 @@
     : Documents_(Documents), Layout_(std::move(Layout)),
       Directory_(Limits.RegisterAgain_), Times_(Limits) {}
 
-Result<void> StoreView::reached(const StorePosition &Told) {
+Result<void> StoreView::reached(const StorePosition &Answered) {
   bool Known = Position_ != StorePosition();
-  if (EraRead_ && Told.Era_ < Position_.Era_)
+  if (EraRead_ && Answered.Era_ < Position_.Era_)
     return Failure{ResultCode::BadStoreEra,
-                   fmt::format("era {} after {}", Told.Era_.count(),
+                   fmt::format("era {} after {}", Answered.Era_.count(),
                                Position_.Era_.count())};
   // An era that only a daemon has reported is replaced by what the service
   // states.
-  if (Known && Told.Era_ != Position_.Era_)
-    beginEra(Told);
+  if (Known && Answered.Era_ != Position_.Era_)
+    beginEra(Answered);
   EraRead_ = true;
-  Position_.Era_ = Told.Era_;
+  Position_.Era_ = Answered.Era_;
   return {};
 }
 
@@ -72,8 +72,8 @@
 
 DocumentVersion StoreView::version() const {
   auto Snapshot = Documents_.snapshot();
-  const ServiceConfiguration *InForce = Snapshot->service(Layout_.Service_);
-  return InForce ? InForce->Version_ : DocumentVersion();
+  const ServiceConfiguration *Active = Snapshot->service(Layout_.Service_);
+  return Active ? Active->Version_ : DocumentVersion();
 }
 
 void StoreView::apply(const KeyValue &Entry) {
@@ -141,11 +141,11 @@
 /// Followers receive the servers known here rather than the entries as read, so
 /// that servers that only expired in an outage stay.
 void StoreView::noteServers() {
-  auto Gone =
+  auto Removed =
       Log_.removeUnless(Layout_.ServerPrefix_, [this](const std::string &Name) {
         return Directory_.contains(ServerName(Name));
       });
-  for (const KeyValue &Entry : Gone)
+  for (const KeyValue &Entry : Removed)
     Departed_.left(Entry.Key_.substr(Layout_.ServerPrefix_.size()),
                    {Entry.Position_, incarnationOf(Entry)});
 }
@@ -162,12 +162,12 @@
 /// from another daemon would send work to a server that left long ago. A backup
 /// of the service has the same effect on all daemons.
 Admission StoreView::admits(Source From, const std::string &Name,
-                            const BackendServer &Told,
+                            const BackendServer &Server,
                             const StorePosition &Written) const {
-  auto Known = comparedWithKnown(Name, Told, Written);
-  if (Known != Admission::Admitted || Told.Leaving_)
+  auto Known = comparedWithKnown(Name, Server, Written);
+  if (Known != Admission::Admitted || Server.Leaving_)
     return Known;
-  DepartedServers::Candidate Entry{Written, Told.Incarnation_,
+  DepartedServers::Candidate Entry{Written, Server.Incarnation_,
                                    From == Source::Service};
   return Departed_.admits(Name, Entry, EraStart_);
 }
@@ -175,7 +175,7 @@
 /// A restored backup has the revisions of the era in which it was made, so its
 /// entry may be older than the one known here although its era is later.
 Admission StoreView::comparedWithKnown(const std::string &Name,
-                                       const BackendServer &Told,
+                                       const BackendServer &Server,
                                        const StorePosition &Written) const {
   const KeyValue *Known = Log_.find(Layout_.ServerPrefix_ + Name);
   // An era that only a daemon reported, and that proved wrong, can't be
@@ -183,13 +183,13 @@
   if (!Known || Known->Position_.Era_ > Position_.Era_)
     return Admission::Admitted;
   const StorePosition &Before = Known->Position_;
-  bool OfCopy = Written.Era_ > Before.Era_ && EraStart_ &&
-                !EraStart_->knownAsWritten(Written);
+  bool FromBackup = Written.Era_ > Before.Era_ && EraStart_ &&
+                    !EraStart_->knownAsWritten(Written);
   bool Older =
-      Written < Before || (OfCopy && Written.Revision_ < Before.Revision_);
-  if (!Older || Told.Incarnation_ > incarnationOf(*Known))
+      Written < Before || (FromBackup && Written.Revision_ < Before.Revision_);
+  if (!Older || Server.Incarnation_ > incarnationOf(*Known))
     return Admission::Admitted;
-  return OfCopy ? Admission::Doubted : Admission::Refused;
+  return FromBackup ? Admission::Doubted : Admission::Refused;
 }
 
 void StoreView::doubt(const std::string &Name, const KeyValue &Entry) {
@@ -200,7 +200,7 @@
   Doubted_[Name] = Entry;
 }
 
-bool StoreView::follow(const ChangeLog::Changes &Told,
+bool StoreView::follow(const ChangeLog::Changes &Changes,
                        const StorePosition &Reached, Revision EraFirst) {
   // A daemon that is behind would bring a leaving server back.
   if (Reached < Position_)
@@ -214,13 +214,14 @@
     EraStart_->First_ = std::min(EraStart_->First_, First);
   }
   std::set<ServerName> Servers;
-  std::set<std::string_view> Unsure(Told.Unsure_.begin(), Told.Unsure_.end());
-  for (const std::string &Key : Told.Unsure_) {
+  std::set<std::string_view> Unsure(Changes.Unsure_.begin(),
+                                    Changes.Unsure_.end());
+  for (const std::string &Key : Changes.Unsure_) {
     std::string Name = Key.substr(Layout_.ServerPrefix_.size());
     Doubted_.erase(Name);
     Servers.emplace(std::move(Name));
   }
-  for (const KeyValue &Entry : Told.Entries_) {
+  for (const KeyValue &Entry : Changes.Entries_) {
     bool IsServer = Entry.Key_.starts_with(Layout_.ServerPrefix_);
     ServerName Name(IsServer ? Entry.Key_.substr(Layout_.ServerPrefix_.size())
                              : "");
@@ -234,7 +235,7 @@
     if (IsServer)
       Servers.insert(std::move(Name));
   }
-  if (Told.Complete_)
+  if (Changes.Complete_)
     keepTold(Servers);
   advance(Reached);
   publish();
@@ -242,8 +243,8 @@
 }
 
 ChangeLog::Changes StoreView::told(std::uint64_t Number,
-                                   std::string_view Apart) const {
-  ChangeLog::Changes Changes = Log_.since(Number, Apart);
+                                   std::string_view ExcludedKey) const {
+  ChangeLog::Changes Changes = Log_.since(Number, ExcludedKey);
   if (!Changes.Complete_)
     return Changes;
   for (const auto &[Name, Entry] : Doubted_)
@@ -281,11 +282,11 @@
   if (!Read)
     return rejectServer(Name, Entry, Read.error());
   Rejected_.erase(Name);
-  auto Counts = admits(From, Name, Read->Server_, Entry.Position_);
-  bool MayStand = EraStart_ && From != Source::UnsureDaemon;
-  if (Counts == Admission::Doubted && MayStand)
+  auto Verdict = admits(From, Name, Read->Server_, Entry.Position_);
+  bool MayBeValid = EraStart_ && From != Source::UnsureDaemon;
+  if (Verdict == Admission::Doubted && MayBeValid)
     return doubt(Name, Entry);
-  if (Counts != Admission::Admitted)
+  if (Verdict != Admission::Admitted)
     return;
   Doubted_.erase(Name);
   takeServer(Name, Entry, *Read);
@@ -299,8 +300,8 @@
     Departed_.cameBack(Name);
   bool Changed = Directory_.seen(Read);
   // Entries that the backup of an era repeats are not sent to followers again.
-  bool OfCopy = EraStart_ && !EraStart_->knownAsWritten(Entry.Position_);
-  if (Changed || !OfCopy || !Log_.find(Entry.Key_))
+  bool FromBackup = EraStart_ && !EraStart_->knownAsWritten(Entry.Position_);
+  if (Changed || !FromBackup || !Log_.find(Entry.Key_))
     Log_.set(Entry);
   if (!Changed)
     return;
@@ -318,18 +319,18 @@
 /// All entries of a large directory arrive at once, at every daemon, so one
 /// line names many servers.
 void StoreView::logServers() {
-  constexpr std::size_t MostOwnLines = 4;
+  constexpr std::size_t MaxSingleLines = 4;
   auto Lines = std::exchange(ServerLines_, {});
   std::map<std::string_view, std::vector<std::string_view>> ByEvent;
   for (ServerLine &Line : Lines) {
     ByEvent[Line.Event_].push_back(Line.Name_);
-    if (Lines.size() > MostOwnLines)
+    if (Lines.size() > MaxSingleLines)
       continue;
     Line.Fields_.insert(Line.Fields_.begin(), {"server", Line.Name_});
     logEvent(LogCategory::Version, spdlog::level::info, Line.Event_,
              Line.Fields_);
   }
-  if (Lines.size() <= MostOwnLines)
+  if (Lines.size() <= MaxSingleLines)
     return;
   for (const auto &[Event, Names] : ByEvent)
     logEvent(LogCategory::Version, spdlog::level::info, Event,
--- a/Source/Process/Configuration/StoreView.h
+++ b/Source/Process/Configuration/StoreView.h
@@ -64,10 +64,10 @@
   void setHooks(Hooks Reactions) { Hooks_ = std::move(Reactions); }
 
   // Updates from the service itself.
-  /// Called when the service has answered from \p Position.
+  /// Called when the service has answered from \p Answered.
   /// \returns BadStoreEra if its era is older than one that was read from the
   /// service before.
-  Result<void> reached(const StorePosition &Told);
+  Result<void> reached(const StorePosition &Answered);
   /// Applies one entry that was read or has changed; publish() activates it.
   void apply(const KeyValue &Entry);
   /// Applies a complete list of all keys.
@@ -92,7 +92,7 @@
   /// saw its era begin; 0 if it did not.
   /// \returns false, and applies nothing, if \p Reached is older than the
   /// position here.
-  bool follow(const ChangeLog::Changes &Told, const StorePosition &Reached,
+  bool follow(const ChangeLog::Changes &Changes, const StorePosition &Reached,
               Revision EraFirst = {});
   /// Applies the text of a configuration.
   /// \returns false if it is not \p Version.
@@ -119,7 +119,7 @@
   /// The changes after \p Number to send to followers, without \p ExcludedKey,
   /// which is sent in another way.
   ChangeLog::Changes told(std::uint64_t Number,
-                          std::string_view Apart = {}) const;
+                          std::string_view ExcludedKey = {}) const;
   const StoreLayout &layout() const { return Layout_; }
 
 private:
@@ -133,10 +133,10 @@
   void applyDaemon(const VmId &Daemon, const KeyValue &Entry);
   void applyServer(Source From, const std::string &Name, const KeyValue &Entry);
   Admission admits(Source From, const std::string &Name,
-                   const BackendServer &Told,
+                   const BackendServer &Server,
                    const StorePosition &Written) const;
   Admission comparedWithKnown(const std::string &Name,
-                              const BackendServer &Told,
+                              const BackendServer &Server,
                               const StorePosition &Written) const;
   void takeServer(const std::string &Name, const KeyValue &Entry,
                   const RegisteredServer &Read);
--- a/Source/Process/Configuration/TextPacking.cpp
+++ b/Source/Process/Configuration/TextPacking.cpp
@@ -10,27 +10,27 @@
 
 namespace {
 
-using Packer = std::unique_ptr<ZSTD_CCtx, decltype(&ZSTD_freeCCtx)>;
-using Unpacker = std::unique_ptr<ZSTD_DCtx, decltype(&ZSTD_freeDCtx)>;
+using CompressContext = std::unique_ptr<ZSTD_CCtx, decltype(&ZSTD_freeCCtx)>;
+using DecompressContext = std::unique_ptr<ZSTD_DCtx, decltype(&ZSTD_freeDCtx)>;
 
 /// The fastest standard level, since a reader compresses between requests.
 constexpr int PackingLevel = 1;
 /// The limits of the library: 1 KB and 128 MB, as powers of two.
-constexpr int LeastWindow = 10;
-constexpr int MostWindow = 27;
+constexpr int MinWindow = 10;
+constexpr int MaxWindow = 27;
 
 /// The window must cover both the prefix and the text, or the beginning of the
 /// prefix is not used.
 int windowFor(std::size_t Bytes) {
-  return std::clamp(static_cast<int>(std::bit_width(Bytes)), LeastWindow,
-                    MostWindow);
+  return std::clamp(static_cast<int>(std::bit_width(Bytes)), MinWindow,
+                    MaxWindow);
 }
 
 } // namespace
 
 std::optional<std::string> packText(std::string_view Text,
                                     std::string_view Prefix) {
-  Packer Context(ZSTD_createCCtx(), &ZSTD_freeCCtx);
+  CompressContext Context(ZSTD_createCCtx(), &ZSTD_freeCCtx);
   if (!Context)
     return std::nullopt;
   ZSTD_CCtx *Raw = Context.get();
@@ -53,14 +53,14 @@
 
 std::optional<std::string> unpackText(std::string_view Packed, std::size_t Size,
                                       std::string_view Prefix) {
-  Unpacker Context(ZSTD_createDCtx(), &ZSTD_freeDCtx);
+  DecompressContext Context(ZSTD_createDCtx(), &ZSTD_freeDCtx);
   if (!Context)
     return std::nullopt;
   ZSTD_DCtx_refPrefix(Context.get(), Prefix.data(), Prefix.size());
   std::string Text(Size, '\0');
-  std::size_t Got = ZSTD_decompressDCtx(Context.get(), Text.data(), Text.size(),
-                                        Packed.data(), Packed.size());
-  if (ZSTD_isError(Got) || Got != Size)
+  std::size_t UnpackedSize = ZSTD_decompressDCtx(
+      Context.get(), Text.data(), Text.size(), Packed.data(), Packed.size());
+  if (ZSTD_isError(UnpackedSize) || UnpackedSize != Size)
     return std::nullopt;
   return Text;
 }
--- a/Tools/mutations.sh
+++ b/Tools/mutations.sh
@@ -218,7 +218,7 @@
   's/  Question\.apart = true;\n//' \
   ${U}platform '*comes in small messages*'
 mutate text-lease $S/Process/Configuration/PeerFollower.cpp \
-  's/if \(!lacksTextOf\(Told\)\)\n//' \
+  's/if \(!lacksTextOf\(State\)\)\n//' \
   ${U}platform '*text does not come*'
 mutate text-hash $S/Process/Configuration/DocumentTransfer.cpp \
   's/ \|\| stableHash\(\*Text\) != Hash_//' \
@@ -281,7 +281,7 @@
   's/ &&\s+Services_\.Freshness_\.behind\(Now\)\.count\(\) == 0//' \
   ${U}OverdueConfiguration '*nothing is denied*'
 mutate lag-noted $S/Process/Configuration/PeerFollower.cpp \
-  's/  noteLag\(Told\);\n//' \
+  's/  noteLag\(State\);\n//' \
   ${U}OverdueConfiguration '*does not come*'
 mutate slow-answer-noted $S/Process/Configuration/StoreFollower.cpp \
   's/if \(answerComes\(\) &&/if (false \&\&/' \
@@ -290,13 +290,13 @@
   's/  noteLag\(\);\n\}\n\nbool/}\n\nbool/' \
   ${U}Process '*heard of and does not come*'
 mutate era-order $S/Process/Configuration/StoreView.cpp \
-  's/if \(EraRead_ && Told\.Era_ < Position_\.Era_\)/if (false)/' \
+  's/if \(EraRead_ && Answered\.Era_ < Position_\.Era_\)/if (false)/' \
   ${U}platform '*answer of an older era*'
 mutate era-departed $S/Process/Configuration/DepartedServers.cpp \
   's/Later \? Admission::Admitted : Admission::Doubted/Later ? Admission::Admitted : Admission::Admitted/' \
   ${U}StoreEraModel '*in all orders*'
 mutate era-known-older $S/Process/Configuration/StoreView.cpp \
-  's/  bool Older =\s+Written < Before \|\| \(OfCopy && [^;]*;/  bool Older = false;/' \
+  's/  bool Older =\s+Written < Before \|\| \(FromBackup && [^;]*;/  bool Older = false;/' \
   ${U}StoreEraModel '*in all orders*'
 mutate era-heard-at $S/Process/Configuration/StoreView.cpp \
   's/Doubted_\.empty\(\) \|\| Asked < EraStart_->SeenAt_ \+ Times_\.Lapse_/Doubted_.empty() || Asked < EraStart_->SeenAt_/' \
@@ -314,7 +314,7 @@
   's/  RegisteredAddress_\.clear\(\);\n//' \
   ${U}platform '*their own entries again*'
 mutate era-follower-entry $S/Process/Configuration/PeerFollower.cpp \
-  's/  Service_\.entryMissing\(Told\.lacks_entry\);\n//' \
+  's/  Service_\.entryMissing\(State\.lacks_entry\);\n//' \
   ${U}platform '*their own entries again*'
 mutate era-pages platform/Store.cpp \
   's/if \(All\.Position_\.Era_ != Listed\.Position_\.Era_\)/if (false)/' \
--- a/UnitTests/Process/Configuration/ChangeLogTest.cpp
+++ b/UnitTests/Process/Configuration/ChangeLogTest.cpp
@@ -28,7 +28,7 @@
   CHECK(Log.since(Log.last()).Entries_.empty());
 }
 
-TEST_CASE("one that knows nothing gets all that there is") {
+TEST_CASE("a follower without a number gets all entries") {
   ChangeLog Log;
   Log.set(entry("a", "1"));
   Log.set(entry("b", "1"));
@@ -39,7 +39,7 @@
   CHECK(Found.Entries_.front().Key_ == "b");
 }
 
-TEST_CASE("what is known so is no change") {
+TEST_CASE("setting a known entry or removing an unknown one is no change") {
   ChangeLog Log;
   Log.set(entry("a", "1"));
   std::uint64_t Known = Log.last();
@@ -48,7 +48,7 @@
   CHECK(Log.last() == Known);
 }
 
-TEST_CASE("a follower that missed forgotten removals gets all") {
+TEST_CASE("a follower that missed forgotten removals gets all entries") {
   ChangeLog Log;
   Log.set(entry("kept", "1"));
   std::uint64_t Known = Log.last();
--- a/UnitTests/Process/Configuration/ConfigurationSyncTest.cpp
+++ b/UnitTests/Process/Configuration/ConfigurationSyncTest.cpp
@@ -27,8 +27,8 @@
 
 // If no peer delivers a newer version, the replaced one would be served
 // forever.
-TEST_CASE("a version that was heard of and does not come makes the one in "
-          "force overdue") {
+TEST_CASE("a version that was heard of and does not come makes the active one "
+          "overdue") {
   boost::asio::io_context Context;
   DocumentStore Documents;
   FreshnessLease Freshness(seconds(0), seconds(2));
@@ -50,8 +50,8 @@
 
 // After a restore from an older backup, a watch that waits for the old revision
 // would miss documents written below it.
-TEST_CASE("a service that is back in a new era is read anew, and nothing in "
-          "force goes back") {
+TEST_CASE("a service restored in a new era is read anew, and no active "
+          "document goes back") {
   boost::asio::io_context Context;
   DocumentStore Documents;
   FreshnessLease Freshness(seconds(0), seconds(2));
--- a/UnitTests/Process/Configuration/DepartedServersTest.cpp
+++ b/UnitTests/Process/Configuration/DepartedServersTest.cpp
@@ -16,7 +16,7 @@
 class DepartedFixture {
 public:
   DepartedFixture() { Servers_.left(Name, {at(1, 50), Incarnation(7)}); }
-  Admission told(const StorePosition &Written) const {
+  Admission admitsReported(const StorePosition &Written) const {
     return Servers_.admits(Name, {Written, Incarnation(7), false}, Era_);
   }
 
@@ -26,27 +26,27 @@
 
 } // namespace
 
-TEST_CASE("in one era what was written after the departure counts") {
+TEST_CASE("in the same era an entry written after the departure is admitted") {
   DepartedFixture Test;
-  CHECK(Test.told(at(1, 50)) == Admission::Refused);
-  CHECK(Test.told(at(1, 40)) == Admission::Refused);
-  CHECK(Test.told(at(1, 51)) == Admission::Admitted);
+  CHECK(Test.admitsReported(at(1, 50)) == Admission::Refused);
+  CHECK(Test.admitsReported(at(1, 40)) == Admission::Refused);
+  CHECK(Test.admitsReported(at(1, 51)) == Admission::Admitted);
   CHECK(Test.Servers_.admits(Name, {at(1, 50), Incarnation(7), true}, {}) ==
         Admission::Admitted);
   CHECK(Test.Servers_.admits("i-2", {at(1, 1), Incarnation(), false}, {}) ==
         Admission::Admitted);
 }
 
-TEST_CASE("in the next era only what was written there counts") {
+TEST_CASE("in the next era only an entry written in it is admitted") {
   DepartedFixture Test;
-  CHECK(Test.told(at(2, 90)) == Admission::Doubted);
+  CHECK(Test.admitsReported(at(2, 90)) == Admission::Doubted);
   Test.Era_ = EraStart{at(2, 30), Now};
-  CHECK(Test.told(at(2, 30)) == Admission::Doubted);
-  CHECK(Test.told(at(2, 31)) == Admission::Admitted);
-  CHECK(Test.told(at(0, 90)) == Admission::Refused);
+  CHECK(Test.admitsReported(at(2, 30)) == Admission::Doubted);
+  CHECK(Test.admitsReported(at(2, 31)) == Admission::Admitted);
+  CHECK(Test.admitsReported(at(0, 90)) == Admission::Refused);
 }
 
-TEST_CASE("a later incarnation counts at once") {
+TEST_CASE("a later incarnation is admitted at once") {
   DepartedFixture Test;
   Test.Era_ = EraStart{at(2, 30), Now};
   auto Later =
--- a/UnitTests/Process/Configuration/DirectoryViewTest.cpp
+++ b/UnitTests/Process/Configuration/DirectoryViewTest.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr BootTime Start{std::chrono::seconds(1000)};
-constexpr milliseconds Again{2400};
+constexpr milliseconds RegisterAgainTime{2400};
 
 RegisteredServer server(const std::string &Name, bool Leaving = false) {
   RegisteredServer Built;
@@ -20,8 +20,9 @@
 
 } // namespace
 
-TEST_CASE("a server that is gone while the service is well is gone at once") {
-  DirectoryView View(Again);
+TEST_CASE("a server that goes missing while the service is available is "
+          "removed at once") {
+  DirectoryView View(RegisterAgainTime);
   CHECK(View.seen(server("a")));
   CHECK_FALSE(View.seen(server("a")));
   CHECK(View.seen(server("a", true)));
@@ -29,13 +30,13 @@
   CHECK(View.servers().empty());
 }
 
-TEST_CASE("entries that lapse in an outage are kept until living servers are "
-          "back") {
+TEST_CASE("entries that expire in an outage are retained until live servers "
+          "are back") {
   // If the platform's service is unavailable for longer than the lifetime of an
   // entry, the entries of all servers are missing when it returns, and come
   // back within two seconds. Treating missing entries as removed would leave no
   // server to send requests to.
-  DirectoryView View(Again);
+  DirectoryView View(RegisterAgainTime);
   View.seen(server("lives"));
   View.seen(server("died"));
   View.outageBegan();
@@ -43,24 +44,24 @@
   View.outageEnded(Start);
   CHECK_FALSE(View.listed({}, Start));
   CHECK(View.size() == 2);
-  CHECK(View.nextDrop() == Start + Again);
+  CHECK(View.nextDrop() == Start + RegisterAgainTime);
   CHECK_FALSE(View.seen(server("lives")));
-  CHECK_FALSE(View.dropUnseen(Start + Again - milliseconds(1)));
-  CHECK(View.dropUnseen(Start + Again));
+  CHECK_FALSE(View.dropUnseen(Start + RegisterAgainTime - milliseconds(1)));
+  CHECK(View.dropUnseen(Start + RegisterAgainTime));
   CHECK(View.size() == 1);
   CHECK_FALSE(View.nextDrop().has_value());
 }
 
-TEST_CASE("an entry that is removed long after the outage is gone at once") {
-  DirectoryView View(Again);
+TEST_CASE("an entry that is removed long after the outage is dropped at once") {
+  DirectoryView View(RegisterAgainTime);
   View.seen(server("a"));
   View.outageBegan();
   View.outageEnded(Start);
-  CHECK(View.missing(ServerName("a"), Start + Again));
+  CHECK(View.missing(ServerName("a"), Start + RegisterAgainTime));
 }
 
 TEST_CASE("an outage without end drops nothing") {
-  DirectoryView View(Again);
+  DirectoryView View(RegisterAgainTime);
   View.seen(server("a"));
   View.outageBegan();
   View.missing(ServerName("a"), Start);
@@ -68,20 +69,20 @@
   CHECK_FALSE(View.nextDrop().has_value());
 }
 
-TEST_CASE("a complete list after the history was lost tells who left in the "
-          "gap") {
-  DirectoryView View(Again);
+TEST_CASE("a complete list after the history was lost shows which servers "
+          "left in the gap") {
+  DirectoryView View(RegisterAgainTime);
   View.seen(server("stays"));
   View.seen(server("left"));
   CHECK(View.listed({ServerName("stays")}, Start));
   CHECK(View.size() == 1);
 }
 
-TEST_CASE("what an earlier process of a server wrote is not taken in late") {
+TEST_CASE("a late entry of an earlier process of a server is not applied") {
   // An engine that was leaving when it crashed restarts under its name, and a
   // daemon that is behind then reports the leaving state. If the entry that
   // arrived last were accepted, the engine would get no work.
-  DirectoryView View(Again);
+  DirectoryView View(RegisterAgainTime);
   RegisteredServer Earlier = server("a", true);
   Earlier.Server_.Incarnation_ = Incarnation(1000);
   RegisteredServer Later = server("a");
--- a/UnitTests/Process/Configuration/FreshnessLeaseTest.cpp
+++ b/UnitTests/Process/Configuration/FreshnessLeaseTest.cpp
@@ -9,13 +9,13 @@
 constexpr BootTime Start{seconds(1000)};
 } // namespace
 
-TEST_CASE("before anything was read nothing is fresh") {
+TEST_CASE("the lease is not valid before the first read") {
   CHECK_FALSE(FreshnessLease(seconds(5)).valid(Start));
   CHECK_FALSE(FreshnessLease(seconds(0)).valid(Start));
 }
 
-TEST_CASE("a pause that outlasts the lease ends it, though an answer was read "
-          "after it") {
+TEST_CASE("a pause longer than the lease ends it, although an answer is read "
+          "after the pause") {
   // A watch is sent and answered, but a frozen process does not read the
   // answer; meanwhile a key is revoked. When the process resumes and reads the
   // old answer, a lease counted from the time of reading would let the key work
@@ -29,7 +29,7 @@
   CHECK(Lease.valid(Woken + seconds(4)));
 }
 
-TEST_CASE("an answer that comes late takes nothing back") {
+TEST_CASE("a late answer does not shorten the lease") {
   FreshnessLease Lease(seconds(5));
   Lease.renew(Start + seconds(3));
   Lease.renew(Start);
@@ -37,13 +37,13 @@
   CHECK(Lease.age(Start + seconds(7)) == seconds(4));
 }
 
-TEST_CASE("without a bound what was read once stays fresh") {
+TEST_CASE("without a duration the lease stays valid after the first read") {
   FreshnessLease Lease(seconds(0));
   Lease.renew(Start);
   CHECK(Lease.valid(Start + std::chrono::hours(1)));
 }
 
-TEST_CASE("a configuration is overdue once a newer one is known of for the "
+TEST_CASE("a configuration is overdue once a newer one has been known for the "
           "bound, and not before") {
   FreshnessLease Lease(seconds(5), seconds(2));
   CHECK_FALSE(Lease.overdue(Start));
@@ -58,7 +58,7 @@
   CHECK(Lease.behind(Start + seconds(9)) == seconds(0));
 }
 
-TEST_CASE("without a bound for changes no configuration is overdue") {
+TEST_CASE("without an apply bound no configuration is overdue") {
   FreshnessLease Lease(seconds(5));
   Lease.newerKnown(Start);
   CHECK_FALSE(Lease.overdue(Start + seconds(9)));
--- a/UnitTests/Process/Configuration/HeardVersionsTest.cpp
+++ b/UnitTests/Process/Configuration/HeardVersionsTest.cpp
@@ -22,7 +22,8 @@
 
 } // namespace
 
-TEST_CASE("a version is asked for when the usual way has not brought it") {
+TEST_CASE("a version is requested when it has not arrived from the reader or "
+          "the service") {
   HeardVersions Heard = heard();
   CHECK(Heard.missing(Old, Start));
   CHECK_FALSE(Heard.due(Old, Start + milliseconds(399)));
@@ -33,7 +34,7 @@
   CHECK_FALSE(Heard.due(New, Start + milliseconds(401)));
 }
 
-TEST_CASE("what is in force, or older, is not missing") {
+TEST_CASE("the active version and older ones are not missing") {
   HeardVersions Heard{HeardVersions::Options()};
   Heard.heard(First, Old, Old, Start);
   Heard.heard(First, DocumentVersion(1), Old, Start);
@@ -42,8 +43,8 @@
 
 // Otherwise a version that a daemon announces and does not deliver would hide
 // those of all other daemons permanently.
-TEST_CASE("a daemon that does not hand a version over is not believed for a "
-          "while") {
+TEST_CASE("announcements of a daemon that does not deliver a version are "
+          "ignored for a while") {
   HeardVersions Heard = heard();
   CHECK_FALSE(Heard.missing(Old, Start + seconds(3)));
   Heard.heard(First, New, Old, Start + seconds(4));
@@ -55,7 +56,7 @@
   CHECK(Heard.missing(Old, Start + seconds(13)));
 }
 
-TEST_CASE("of two versions the newer one is asked for") {
+TEST_CASE("of two versions the newer one is requested") {
   HeardVersions Heard = heard();
   Heard.heard(Second, DocumentVersion(6), Old, Start);
   Heard.heard(First, New, Old, Start);
--- a/UnitTests/Process/Configuration/MeasuredPlatformTest.cpp
+++ b/UnitTests/Process/Configuration/MeasuredPlatformTest.cpp
@@ -6,7 +6,7 @@
 
 using namespace samphireshunt;
 
-TEST_CASE("calls are counted by what became of them") {
+TEST_CASE("calls are reported with their outcome") {
   boost::asio::io_context Context;
   PlatformHooks Inner;
   Inner.List_ = [](std::string) -> Awaitable<Result<KeyValueList>> {
--- a/UnitTests/Process/Configuration/StoreReadersTest.cpp
+++ b/UnitTests/Process/Configuration/StoreReadersTest.cpp
@@ -17,7 +17,7 @@
 
 /// A fleet of \p Count daemons, of which \p Strong have a link of 200 Mbit/s
 /// and the others of 20.
-std::vector<Member> fleetOfUnlikeLinks(int Count, int Strong) {
+std::vector<Member> fleetOfMixedLinks(int Count, int Strong) {
   constexpr std::uint32_t StrongMbps = 200;
   constexpr std::uint32_t WeakMbps = 20;
   auto Members = fleet(Count);
@@ -50,8 +50,8 @@
   }
 }
 
-TEST_CASE(
-    "in a large one a few do, the same for all, and are followed evenly") {
+TEST_CASE("in a large fleet all daemons choose the same few readers, and "
+          "followers are spread evenly") {
   // If 89 daemons each had a watch and reads of their own, they would make a
   // hundred calls a second to the service.
   auto Members = fleet(89);
@@ -73,7 +73,7 @@
       Followers, [](const auto &Item) { return Item.second <= 25; }));
 }
 
-TEST_CASE("a reader of the own data center goes first") {
+TEST_CASE("a reader in the same data centre is preferred") {
   auto Members = fleet(60);
   std::set<DataCenterName> WithReader;
   for (const Member &Self : Members)
@@ -90,7 +90,7 @@
   }
 }
 
-TEST_CASE("a reader that goes is replaced by one other, the rest stay") {
+TEST_CASE("a reader that leaves is replaced by one other, and the rest stay") {
   auto Members = fleet(60);
   std::set<VmId> Before;
   for (const Member &Self : Members)
@@ -116,7 +116,7 @@
   // as the weakest, 295 daemons would have 24 readers. Each asks twice a second
   // whether its state is complete, so calls to the platform's service would be
   // the largest part of the fleet's cost while nothing changes.
-  auto Members = fleetOfUnlikeLinks(295, 18);
+  auto Members = fleetOfMixedLinks(295, 18);
   auto Readers = readersOf(Members);
   CHECK(Readers.size() == 6);
   CHECK(std::ranges::all_of(
@@ -131,11 +131,11 @@
       Followers, [](const auto &Item) { return Item.second <= 2 * 48; }));
 }
 
-TEST_CASE("without its strong links a fleet has more readers") {
+TEST_CASE("a fleet without strong links has more readers") {
   // All strong VMs are lost at once.
-  auto Members = fleetOfUnlikeLinks(277, 0);
+  auto Members = fleetOfMixedLinks(277, 0);
   CHECK(readersOf(Members).size() == 11);
   // With too few strong links, daemons on weak links take the rest.
-  auto Mixed = readersOf(fleetOfUnlikeLinks(295, 2));
+  auto Mixed = readersOf(fleetOfMixedLinks(295, 2));
   CHECK(Mixed.size() == 10);
 }
--- a/UnitTests/Process/Configuration/TextPackingTest.cpp
+++ b/UnitTests/Process/Configuration/TextPackingTest.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// Text that does not compress by itself.
-std::string digits(std::size_t Size) {
+std::string incompressibleText(std::size_t Size) {
   std::string Text;
   std::uint32_t Next = 1;
   while (Text.size() < Size) {
@@ -20,7 +20,7 @@
 
 } // namespace
 
-TEST_CASE("what is packed with a prefix comes back with it") {
+TEST_CASE("a text compressed with a prefix decompresses with it") {
   CHECK(rc::check([](const std::string &Text, const std::string &Prefix) {
     auto Packed = packText(Text, Prefix);
     RC_ASSERT(Packed.has_value());
@@ -30,8 +30,8 @@
   }));
 }
 
-TEST_CASE("of a text like its prefix little is left") {
-  std::string Before = digits(3000000);
+TEST_CASE("a text similar to its prefix compresses to little") {
+  std::string Before = incompressibleText(3000000);
   std::string After = Before;
   After.insert(1000000, "a new route");
   After.erase(2000000, 1000);
@@ -41,11 +41,11 @@
   CHECK(unpackText(*Packed, After.size(), Before) == After);
 }
 
-TEST_CASE("bytes that are no packed text give none") {
-  std::string Text = digits(10000);
+TEST_CASE("invalid compressed bytes are rejected") {
+  std::string Text = incompressibleText(10000);
   std::string Packed = packText(Text, "").value();
   CHECK_FALSE(unpackText("", Text.size(), ""));
-  CHECK_FALSE(unpackText(digits(500), Text.size(), ""));
+  CHECK_FALSE(unpackText(incompressibleText(500), Text.size(), ""));
   CHECK_FALSE(unpackText(Packed.substr(0, Packed.size() - 1), Text.size(), ""));
   CHECK_FALSE(unpackText(Packed, Text.size() - 1, ""));
 }
