--- a/Source/Process/Configuration/DirectoryView.h
+++ b/Source/Process/Configuration/DirectoryView.h
@@ -28,6 +28,7 @@
   explicit DirectoryView(BootClock::duration RegisterAgainTime)
       : RegisterAgainTime_(RegisterAgainTime) {}
 
+  /// Adds or updates a server.
   /// \returns true if this changed the result of servers().
   bool seen(const RegisteredServer &Server);
   /// Called when the entry was removed, or is missing in a complete list.
--- a/Source/Process/Configuration/PeerFollower.h
+++ b/Source/Process/Configuration/PeerFollower.h
@@ -100,12 +100,12 @@
   void onState(const VmId &From, const wire::StateT &State);
   void onTextPart(const VmId &From, const wire::TextPartT &Chunk);
   void onLinkDown(const VmId &Reader);
-  /// Gossip reports that this daemon has that version active.
+  /// Gossip reports that \p From has \p Version active.
   void onVersionHeard(const VmId &From, DocumentVersion Version);
   /// True if a version newer than the active one was announced, and is not
   /// given up.
   bool lacksHeardVersion();
-  /// True while an answer of this daemon is awaited.
+  /// True while an answer from \p Reader is awaited.
   bool awaiting(const VmId &Reader) const;
   /// False if no reader answers, or if none has had the service for a while.
   bool inTouch() const;
--- a/Source/Process/Configuration/StoreReaders.h
+++ b/Source/Process/Configuration/StoreReaders.h
@@ -30,7 +30,8 @@
 
 /// How a daemon reads the platform's service.
 enum class StoreRole {
-  Alone,  ///< In a small fleet, where every daemon reads for itself.
+  Alone,  ///< In a small fleet: for itself, and for those that have lost the
+          ///< service.
   Reader, ///< Reads for its followers.
   Spare   ///< Reads only while it can follow no reader.
 };
--- a/Source/Process/Configuration/StoreView.h
+++ b/Source/Process/Configuration/StoreView.h
@@ -27,8 +27,8 @@
   std::shared_ptr<const Document> Document_;
 };
 
-/// The keys under which the platform's service stores things, and how to parse
-/// them.
+/// The keys under which the platform's service stores entries, and functions
+/// that parse these.
 struct StoreLayout {
   ServiceName Service_;
   std::string ConfigurationKey_;
