--- a/Source/Process/Configuration/DirectoryView.cpp
+++ b/Source/Process/Configuration/DirectoryView.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// What makes two entries of a server differ.
+/// The fields in which two entries of a server may differ.
 auto comparedFields(const RegisteredServer &Known) {
   const BackendServer &Server = Known.Server_;
   return std::tie(Known.Pool_, Server.Address_, Server.DataCenter_,
@@ -19,12 +19,12 @@
 }
 
 std::uint64_t digestOf(const RegisteredServer &Known) {
-  const auto &[Pool, Address, DataCenter, Leaving, Most, Process] =
+  const auto &[Pool, Address, DataCenter, Leaving, MaxInFlight, Process] =
       comparedFields(Known);
   return stableHash(fmt::format("{}\n{}\n{}\n{}\n{}\n{}\n{}", Pool.str(),
                                 Known.Server_.Name_.str(),
                                 formatEndpoint(Address), DataCenter.str(),
-                                Leaving, Most, Process.count()));
+                                Leaving, MaxInFlight, Process.count()));
 }
 
 } // namespace
@@ -50,9 +50,9 @@
 
 bool DirectoryView::seen(const RegisteredServer &Server) {
   Entry &Target = Entries_[Server.Server_.Name_];
-  // What an earlier process of the server wrote may be read late, from a daemon
-  // that is behind. Taken in, it would bring a leaving state, or an address,
-  // back that is no longer true.
+  // An entry that an earlier process of the server wrote may arrive late, from
+  // a daemon that is behind. Applying it would restore an outdated leaving
+  // state or address.
   if (Server.Server_.Incarnation_ < Target.Server_.Server_.Incarnation_)
     return false;
   Target.Missing_ = false;
@@ -76,12 +76,12 @@
 }
 
 bool DirectoryView::listed(const std::set<ServerName> &Names, BootTime Now) {
-  std::vector<ServerName> Gone;
+  std::vector<ServerName> Absent;
   for (const auto &[Name, Known] : Entries_)
     if (!Names.contains(Name))
-      Gone.push_back(Name);
+      Absent.push_back(Name);
   bool Changed = false;
-  for (const ServerName &Name : Gone)
+  for (const ServerName &Name : Absent)
     Changed |= missing(Name, Now);
   return Changed;
 }
