--- a/Source/Request/ApplicationCall.cpp
+++ b/Source/Request/ApplicationCall.cpp
@@ -1,6 +1,7 @@
 /// \file
-/// A request to an application engine: one dispatch, one whole answer, never
-/// resumed. Non-idempotent ones run under a claim of their idempotency key.
+/// A request to an application engine: it is dispatched once and gets one
+/// complete answer, which is never resumed. Non-idempotent requests run under a
+/// claim of their idempotency key.
 
 #include "Common/Hash.h"
 #include "Common/Log.h"
@@ -23,15 +24,15 @@
 constexpr std::size_t MaxIdempotencyKeyBytes = 256;
 constexpr milliseconds RunningRetryAfter{1000};
 
-/// Fields of a stored answer that a repeat gets as well.
+/// \returns the part of an answer that is stored for retries of its request.
 HttpResponse storable(const HttpResponse &Answer) {
-  HttpResponse Kept;
-  Kept.Status_ = Answer.Status_;
-  Kept.Body_ = Answer.Body_;
+  HttpResponse Stored;
+  Stored.Status_ = Answer.Status_;
+  Stored.Body_ = Answer.Body_;
   auto Type = Answer.Fields_.find("content-type");
   if (Type != Answer.Fields_.end())
-    Kept.Fields_.insert(*Type);
-  return Kept;
+    Stored.Fields_.insert(*Type);
+  return Stored;
 }
 
 class ApplicationCall {
@@ -39,15 +40,15 @@
   explicit ApplicationCall(RequestContext &Context) : Context_(Context) {}
 
   Awaitable<void> run() {
-    bool Claims = Context_.Route_->NonIdempotent_;
-    if (Claims) {
-      auto Known = co_await checkKey();
-      if (Known)
+    bool NeedsClaim = Context_.Route_->NonIdempotent_;
+    if (NeedsClaim) {
+      auto IsAnswered = co_await checkKey();
+      if (IsAnswered)
         co_return;
     }
     SeekOptions Options;
-    Options.MaxIdle_ = Claims ? milliseconds(0) : ProvedMaxIdle;
-    if (Claims)
+    Options.MaxIdle_ = NeedsClaim ? milliseconds(0) : ProvedMaxIdle;
+    if (NeedsClaim)
       Options.Prepare_ = [this]() { return claimKey(); };
     auto Obtained = co_await obtainServer(Context_, std::move(Options));
     if (auto *Refused = std::get_if<Verdict>(&Obtained)) {
@@ -56,17 +57,17 @@
     }
     Ready_ = std::move(std::get<ReadyServer>(Obtained));
     Context_.Services_.Grants_.dispatched(Context_.Id_, nullptr);
-    // From here on the run goes to its end although the caller may leave:
-    // nobody could tell what a run that is cut short took effect of.
+    // From here on the request runs to its end even if the caller disconnects:
+    // the effects of an interrupted run would be unknown.
     Context_.Exchange_.onCallerLeft(nullptr);
     Dispatched_ = steady_clock::now();
     auto Answer = co_await exchange();
-    ServedSample Seen;
-    Seen.Reached_ = true;
-    Seen.Complete_ = Answer.has_value();
-    Seen.Duration_ =
+    ServedSample Sample;
+    Sample.Reached_ = true;
+    Sample.Complete_ = Answer.has_value();
+    Sample.Duration_ =
         duration_cast<microseconds>(steady_clock::now() - Dispatched_);
-    Context_.Services_.Grants_.done(Context_.Id_, Seen);
+    Context_.Services_.Grants_.done(Context_.Id_, Sample);
     if (Answer)
       co_await answerWhole(std::move(*Answer));
     else
@@ -85,33 +86,34 @@
                      Request.Body_);
   }
 
-  /// Looks for a claim before any wait. \returns true when that answered the
-  /// request.
+  /// Looks up the claim of the idempotency key before the request waits for a
+  /// grant. \returns true when the request has been answered from it or
+  /// refused.
   Awaitable<bool> checkKey() {
     ClaimKey Key = claimKeyOf();
-    Verdict Bad;
+    Verdict Refusal;
     if (Key.IdempotencyKey_.empty() ||
         Key.IdempotencyKey_.size() > MaxIdempotencyKeyBytes) {
-      Bad.Code_ = ResultCode::IdempotencyKeyMissing;
-      co_await answerVerdict(Context_, std::move(Bad));
+      Refusal.Code_ = ResultCode::IdempotencyKeyMissing;
+      co_await answerVerdict(Context_, std::move(Refusal));
       co_return true;
     }
     auto Found = co_await Context_.Services_.Claims_.find(Key);
     if (!Found) {
-      Bad.Code_ = ResultCode::PlatformUnavailable;
-      Bad.Detail_ = Found.error().Detail_;
-      co_await answerVerdict(Context_, std::move(Bad));
+      Refusal.Code_ = ResultCode::PlatformUnavailable;
+      Refusal.Detail_ = Found.error().Detail_;
+      co_await answerVerdict(Context_, std::move(Refusal));
       co_return true;
     }
     if (!*Found)
       co_return false;
-    Claim Standing = std::move(**Found);
-    co_await answerFromClaim(std::move(Standing));
+    Claim Existing = std::move(**Found);
+    co_await answerFromClaim(std::move(Existing));
     co_return true;
   }
 
-  /// Claims the key just before the dispatch, so that what is shed while it
-  /// waits costs the platform nothing.
+  /// Claims the key just before the dispatch, so that requests that are shed
+  /// while they wait cause no load on the platform.
   Awaitable<std::optional<Verdict>> claimKey() {
     if (Claimed_)
       co_return std::nullopt;
@@ -121,48 +123,49 @@
     Wanted.Incarnation_ = Context_.Services_.Incarnation_;
     Wanted.BodyDigest_ = bodyDigest();
     Wanted_ = Wanted;
-    auto Standing =
+    auto Existing =
         co_await Context_.Services_.Claims_.claim(claimKeyOf(), Wanted);
-    if (!Standing) {
+    if (!Existing) {
       Verdict Ended;
       Ended.Code_ = ResultCode::ClaimFailed;
-      Ended.Detail_ = Standing.error().Detail_;
+      Ended.Detail_ = Existing.error().Detail_;
       MayLandLate_ = true;
       co_return Ended;
     }
-    if (Standing->Attempt_ != Wanted.Attempt_) {
-      Other_ = std::move(*Standing);
+    if (Existing->Attempt_ != Wanted.Attempt_) {
+      OtherClaim_ = std::move(*Existing);
       co_return Verdict();
     }
-    Claimed_ = std::move(*Standing);
+    Claimed_ = std::move(*Existing);
     co_return std::nullopt;
   }
 
   Awaitable<void> refuse(Verdict Ended) {
-    if (Other_)
-      co_return co_await answerFromClaim(std::move(*Other_));
+    if (OtherClaim_)
+      co_return co_await answerFromClaim(std::move(*OtherClaim_));
     if (Claimed_ || MayLandLate_)
       co_await releaseInBackground();
     co_await answerVerdict(Context_, std::move(Ended));
   }
 
-  /// What a repeat of a key gets: never a second run.
-  Awaitable<void> answerFromClaim(Claim Standing) {
+  /// Answers a retry from the claim of the first attempt. A retry never runs a
+  /// second time.
+  Awaitable<void> answerFromClaim(Claim Existing) {
     Verdict Ended;
     Ended.Outcome_ = Outcome::Unknown;
-    if (Standing.BodyDigest_ != bodyDigest()) {
+    if (Existing.BodyDigest_ != bodyDigest()) {
       Ended.Outcome_ = Outcome::NotRun;
       Ended.Code_ = ResultCode::IdempotencyKeyReused;
-    } else if (Standing.State_ == ClaimState::Answered) {
-      HttpResponse Stored = std::move(Standing.Answer_);
+    } else if (Existing.State_ == ClaimState::Answered) {
+      HttpResponse Stored = std::move(Existing.Answer_);
       Stored.Fields_["idempotent-replay"] = "true";
       addOutcomeFields(Stored, Context_.Id_, Outcome::Answered, ResultCode::Ok);
       Stored.Fields_["x-served-by"] = Context_.Services_.Vm_.str();
       co_await Context_.Exchange_.respond(std::move(Stored));
       co_return reportEnd(Context_, Outcome::Answered, ResultCode::Ok);
-    } else if (Standing.State_ == ClaimState::Claimed &&
-               Context_.Services_.IsProcessAlive_(Standing.Vm_,
-                                                  Standing.Incarnation_)) {
+    } else if (Existing.State_ == ClaimState::Claimed &&
+               Context_.Services_.IsProcessAlive_(Existing.Vm_,
+                                                  Existing.Incarnation_)) {
       Ended.Code_ = ResultCode::FirstAttemptRunning;
       Ended.RetryAfter_ = RunningRetryAfter;
     } else {
@@ -183,12 +186,12 @@
     if (!Head)
       co_return Head.error();
     while (true) {
-      auto Part = co_await Connection.readSome(Context_.remaining());
-      if (!Part)
-        co_return Part.error();
-      if (Part->empty())
+      auto Received = co_await Connection.readSome(Context_.remaining());
+      if (!Received)
+        co_return Received.error();
+      if (Received->empty())
         break;
-      Head->Body_ += *Part;
+      Head->Body_ += *Received;
     }
     Context_.Trace_.end(SpanNumber);
     auto Echo = Head->Fields_.find("x-request-id");
@@ -218,7 +221,8 @@
   }
 
   Awaitable<void> answerFailed(Failure Cause) {
-    // The answer may still come: on a connection of its own it meets nobody.
+    // The answer may still arrive. The connection is closed rather than reused,
+    // so that no other request receives it.
     Ready_.Connection_->close();
     Verdict Ended;
     Ended.Code_ = Cause.Code_;
@@ -232,7 +236,8 @@
     co_await answerVerdict(Context_, std::move(Ended));
   }
 
-  /// The caller's answer does not wait for the platform.
+  /// Stores the end of the run in the background, so that the caller's answer
+  /// doesn't wait for the platform.
   Awaitable<void> finishInBackground(ClaimState State,
                                      const HttpResponse *Answer) {
     Claim Ended = *Claimed_;
@@ -247,6 +252,7 @@
     spawnLogged(Executor, "finish-claim", std::move(Finish));
   }
 
+  /// Deletes the claim of a request that was not dispatched.
   Awaitable<void> releaseInBackground() {
     auto Executor = co_await asio::this_coro::executor;
     auto Release = [&Claims = Context_.Services_.Claims_, Key = claimKeyOf(),
@@ -261,7 +267,7 @@
   TimePoint Dispatched_;
   std::optional<Claim> Wanted_;
   std::optional<Claim> Claimed_;
-  std::optional<Claim> Other_;
+  std::optional<Claim> OtherClaim_;
   bool MayLandLate_ = false;
 };
 
--- a/Source/Request/CallerService.cpp
+++ b/Source/Request/CallerService.cpp
@@ -21,44 +21,46 @@
 using std::chrono::steady_clock;
 
 constexpr std::string_view BearerPrefix = "Bearer ";
-/// Taken for the length of an answer when the caller sets no limit.
+/// Assumed length of an answer when the caller sets no limit.
 constexpr std::int64_t DefaultAnswerTokens = 256;
 
 Verdict refused(ResultCode Code, std::string Detail = "") {
   return Verdict(Code, std::move(Detail));
 }
 
-/// Tools' schemas nest by ten or twenty levels; no request in sight by more.
-constexpr int MostLevels = 100;
+/// Maximum nesting depth of a JSON body. The schemas of tools, the deepest part
+/// of regular requests, nest by 10 to 20 levels.
+constexpr int MaxNestingDepth = 100;
 
-/// A value is copied and written by functions that call themselves for each of
-/// its levels. A body of nothing but lists in lists ends the stack, and with it
-/// the process and all its requests: one notices by a segmentation fault with
-/// hundreds of frames of the JSON library. So none is built that is so deep.
-/// \returns a value that is no object when \p Text is none, or nests deeper.
+/// Parses a JSON body and rejects excessive nesting. The JSON library copies
+/// and writes values recursively, so that a body of deeply nested arrays would
+/// overflow the stack and crash the process with all its requests (seen as a
+/// segmentation fault below hundreds of frames of the library).
+/// \returns a value that is not an object when \p Text is not a JSON object or
+/// is nested too deeply.
 Json parseBody(const std::string &Text) {
   bool TooDeep = false;
-  auto MayGoOn = [&TooDeep](int Level, Json::parse_event_t, Json &) {
-    TooDeep |= Level > MostLevels;
+  auto WithinLimit = [&TooDeep](int Level, Json::parse_event_t, Json &) {
+    TooDeep |= Level > MaxNestingDepth;
     return !TooDeep;
   };
-  Json Body = Json::parse(Text, MayGoOn, /*allow_exceptions=*/false);
+  Json Body = Json::parse(Text, WithinLimit, /*allow_exceptions=*/false);
   return TooDeep ? Json() : Body;
 }
 
-/// All messages of a chat, in order, as one prompt.
-Result<std::string> promptOf(const Json &Body) {
+/// Concatenates all messages of a chat, in order, into one prompt.
+Result<std::string> joinPrompt(const Json &Body) {
   auto Messages = Body.find("messages");
   if (Messages == Body.end() || !Messages->is_array() || Messages->empty())
     return Failure{ResultCode::MalformedRequest,
-                   "'messages' must be a list with at least one message"};
+                   "'messages' must be an array with at least one message"};
   std::string Prompt;
   for (const Json &Message : *Messages) {
     bool Valid = Message.is_object() && Message.contains("content") &&
                  Message["content"].is_string();
     if (!Valid)
       return Failure{ResultCode::MalformedRequest,
-                     "every message needs a text as its 'content'"};
+                     "every message needs a string as its 'content'"};
     Prompt += Message["content"].get<std::string>();
   }
   return Prompt;
@@ -113,7 +115,8 @@
   if (!IsReady_())
     return refused(ResultCode::NotReady);
   if (Services_.Freshness_.overdue(BootClock::now()))
-    return refused(ResultCode::ConfigurationStale, "a newer one is overdue");
+    return refused(ResultCode::ConfigurationStale,
+                   "a newer configuration is overdue");
   if (auto Refusal = checkRoute(Context))
     return Refusal;
   if (Context.Route_->Forwarding_)
@@ -140,9 +143,9 @@
   if (Context.Route_->Forwarding_)
     return std::nullopt;
   const auto &Methods = Context.Route_->Methods_;
-  constexpr std::array<std::string_view, 5> Served = {"GET", "POST", "PUT",
-                                                      "PATCH", "DELETE"};
-  if (!std::ranges::count(Served, Request.Method_))
+  constexpr std::array<std::string_view, 5> SupportedMethods = {
+      "GET", "POST", "PUT", "PATCH", "DELETE"};
+  if (!std::ranges::count(SupportedMethods, Request.Method_))
     return refused(ResultCode::MethodNotAllowed, Request.Method_);
   if (!Methods.empty() && !std::ranges::count(Methods, Request.Method_))
     return refused(ResultCode::MethodNotAllowed, Request.Method_);
@@ -152,9 +155,10 @@
   return std::nullopt;
 }
 
-/// What this daemon does not know may have been added since: while it can't
-/// tell whether its configuration is the newest, or knows that it is not, it
-/// does not deny anything.
+/// Refuses a request because of an entry that the configuration lacks. The
+/// entry may have been added in a newer version: while the configuration is
+/// possibly or certainly out of date, the code is ConfigurationStale instead of
+/// \p Code.
 Verdict CallerService::refusedIfFresh(ResultCode Code,
                                       std::string Detail) const {
   BootTime Now = BootClock::now();
@@ -164,7 +168,8 @@
                  std::move(Detail));
 }
 
-/// A request that goes to a backend server as it is.
+/// Checks a request that is forwarded unchanged to a backend server, and fills
+/// in the context.
 std::optional<Verdict> CallerService::checkForwarded(RequestContext &Context) {
   const HttpRequest &Request = Context.Exchange_.request();
   const ForwardingRule &Rule = *Context.Route_->Forwarding_;
@@ -189,7 +194,8 @@
     return std::nullopt;
   std::string_view Authorization = Request.field("authorization");
   if (!Authorization.starts_with(BearerPrefix))
-    return refusedIfFresh(ResultCode::UnknownCustomer, "no bearer key");
+    return refusedIfFresh(ResultCode::UnknownCustomer,
+                          "no bearer key in the authorization field");
   Authorization.remove_prefix(BearerPrefix.size());
   Context.KeyDigest_ = sha256Hex(Authorization);
   Context.Customer_ =
@@ -199,23 +205,23 @@
   return checkCallerStillAllowed(Context);
 }
 
-/// One of the route's pools, by their weights. Requests of one session go to
-/// one pool, where their prompt may be cached.
+/// Selects one of the route's pools in proportion to their weights. Requests of
+/// one session select the same pool, where their prompt may be cached.
 const Pool *CallerService::choosePool(const RequestContext &Context) const {
   const auto &Targets = Context.Route_->Forwarding_->Targets_;
-  std::uint64_t Sum = 0;
+  std::uint64_t TotalWeight = 0;
   for (const WeightedPool &Target : Targets)
-    Sum += Target.Weight_;
-  if (Sum == 0)
+    TotalWeight += Target.Weight_;
+  if (TotalWeight == 0)
     return nullptr;
   const auto &Parts = Context.Call_.Parts_;
   std::uint64_t Affinity = Parts.empty() ? stableHash(Context.Call_.CallId_)
                                          : stableHash("", Parts.back().Id_);
-  std::uint64_t Point = Affinity % Sum;
+  std::uint64_t Point = Affinity % TotalWeight;
   auto Chosen = std::ranges::find_if(Targets, [&](const WeightedPool &Target) {
-    bool Here = Point < Target.Weight_;
-    Point -= Here ? 0 : Target.Weight_;
-    return Here;
+    bool Selected = Point < Target.Weight_;
+    Point -= Selected ? 0 : Target.Weight_;
+    return Selected;
   });
   return Context.Service_->pool(Chosen->Pool_);
 }
@@ -225,19 +231,20 @@
   const HttpRequest &Request = Context.Exchange_.request();
   std::string_view Authorization = Request.field("authorization");
   if (!Authorization.starts_with(BearerPrefix))
-    return refused(ResultCode::UnknownCustomer, "no bearer key");
+    return refused(ResultCode::UnknownCustomer,
+                   "no bearer key in the authorization field");
   Authorization.remove_prefix(BearerPrefix.size());
   Context.Customer_ =
       Context.document().customerByKeyDigest(sha256Hex(Authorization));
   if (!Context.Customer_)
     return refused(ResultCode::UnknownCustomer);
   Context.Tier_ = Context.Customer_->DefaultTier_;
-  const std::string &Wanted = Request.field("x-tier");
-  if (Wanted.empty())
+  const std::string &Requested = Request.field("x-tier");
+  if (Requested.empty())
     return std::nullopt;
-  auto Tier = Context.document().tier(Wanted);
+  auto Tier = Context.document().tier(Requested);
   if (!Tier || !std::ranges::count(Context.Customer_->AllowedTiers_, *Tier))
-    return refused(ResultCode::TierNotAllowed, Wanted);
+    return refused(ResultCode::TierNotAllowed, Requested);
   Context.Tier_ = *Tier;
   return std::nullopt;
 }
@@ -252,9 +259,9 @@
     std::int64_t Millis = 0;
     auto Parsed =
         std::from_chars(Text.data(), Text.data() + Text.size(), Millis);
-    bool Whole =
+    bool IsInteger =
         Parsed.ec == std::errc() && Parsed.ptr == Text.data() + Text.size();
-    if (!Whole || Millis < 1 || Millis > Limits.MaxTimeout_.count())
+    if (!IsInteger || Millis < 1 || Millis > Limits.MaxTimeout_.count())
       return refused(ResultCode::BadDeadline, Text);
     Timeout = milliseconds(Millis);
   }
@@ -268,10 +275,10 @@
   Json Body = parseBody(Request.Body_);
   if (!Body.is_object())
     return refused(ResultCode::MalformedRequest,
-                   "the body is no JSON object, or nests too deeply");
+                   "the body is not a JSON object or is nested too deeply");
   auto Model = Body.find("model");
   if (Model == Body.end() || !Model->is_string())
-    return refused(ResultCode::MalformedRequest, "'model' must be a text");
+    return refused(ResultCode::MalformedRequest, "'model' must be a string");
   auto Stream = Body.find("stream");
   if (Stream != Body.end() && !Stream->is_boolean())
     return refused(ResultCode::MalformedRequest,
@@ -284,7 +291,7 @@
   if (Found == Pools.end())
     return refused(ResultCode::UnknownModel, Model->get<std::string>());
   Context.Pool_ = &*Found;
-  auto Prompt = promptOf(Body);
+  auto Prompt = joinPrompt(Body);
   if (!Prompt)
     return refused(Prompt.error().Code_, Prompt.error().Detail_);
   Context.PromptTokens_ = estimateTokens(*Prompt);
@@ -294,7 +301,7 @@
   if (Limit != Body.end()) {
     if (!Limit->is_number_integer() || Limit->get<std::int64_t>() < 1)
       return refused(ResultCode::MalformedRequest,
-                     "'max_tokens' must be a whole number from 1");
+                     "'max_tokens' must be a positive integer");
     Answer = Limit->get<std::int64_t>();
   }
   Context.AnswerTokens_ = Tokens(Answer);
--- a/Source/Request/CallerService.h
+++ b/Source/Request/CallerService.h
@@ -1,7 +1,7 @@
 #pragma once
 /// \file
-/// The handler of callers' requests on one worker: checks a request against
-/// the configuration and runs it.
+/// Handles callers' requests on one worker: validates a request against the
+/// configuration and runs it.
 
 #include "Request/RequestContext.h"
 #include "Request/WaitPlan.h"
@@ -15,6 +15,7 @@
   CallerService(RequestServices Services, std::function<bool()> IsReady,
                 std::function<RequestId()> NextId);
 
+  /// Validates and runs one request and writes its final answer.
   Awaitable<void> handle(HttpExchange &Exchange);
 
 private:
--- a/Source/Request/ClaimStore.cpp
+++ b/Source/Request/ClaimStore.cpp
@@ -25,7 +25,7 @@
   if (Value.State_ == ClaimState::Answered) {
     Root["status"] = Value.Answer_.Status_;
     Root["fields"] = Value.Answer_.Fields_;
-    // Bodies need not be text; JSON strings must be.
+    // A body may hold arbitrary bytes, which a JSON string can't represent.
     Root["body"] = std::vector<std::uint8_t>(Value.Answer_.Body_.begin(),
                                              Value.Answer_.Body_.end());
   }
@@ -79,29 +79,30 @@
   co_return std::optional<Claim>(std::move(*Decoded));
 }
 
-/// A create may take effect although its answer never returns. Without the
-/// read back, such a claim would be taken for another one's, and the key
-/// could never run. A create that is sent again carries the same attempt, so
-/// whichever of the two took effect, the attempt that stands tells the owner.
+/// Creates the claim. A create may take effect although its answer is lost, so
+/// the claim is read back after a failure. Otherwise the attempt's own claim
+/// would be taken for another attempt's, and the request could never run. A
+/// retried create carries the same attempt id, so that the stored id identifies
+/// the owner, whichever of the creates took effect.
 Awaitable<Result<Claim>> ClaimStore::claim(ClaimKey Key, Claim Wanted) {
   KeyValueWrite Write;
   Write.Key_ = Key.storeKey();
   Write.Value_ = encodeClaim(Wanted);
   Write.TimeToLive_ = Options_.Retention_;
-  std::string Reason;
+  std::string LastError;
   for (int Try = 0; Try < Options_.ReadBackTries_; ++Try) {
     auto Written = co_await Platform_.Put_(Write);
     if (Written) {
       Wanted.Position_ = *Written;
       co_return Wanted;
     }
-    Reason = Written.error().Detail_;
+    LastError = Written.error().Detail_;
     auto Present = co_await find(Key);
     if (Present && *Present)
       co_return std::move(**Present);
     co_await pause(Options_.RetryDelay_);
   }
-  co_return Failure{ResultCode::ClaimFailed, Reason};
+  co_return Failure{ResultCode::ClaimFailed, LastError};
 }
 
 Awaitable<void> ClaimStore::finish(ClaimKey Key, Claim Ended) {
@@ -114,8 +115,8 @@
   Write.TimeToLive_ = Options_.Retention_;
   for (int Try = 0; Try < Options_.FinishTries_; ++Try) {
     auto Written = co_await Platform_.Put_(Write);
-    // A conflict can only be an earlier try of this one: nobody else writes
-    // to a claim.
+    // A conflict can only come from an earlier attempt of this loop, since only
+    // the owner writes to a claim.
     if (Written || Written.error().Code_ == ResultCode::VersionConflict)
       co_return;
     co_await pause(Options_.FinishDelay_);
@@ -124,16 +125,16 @@
            {{"attempt", Ended.Attempt_}});
 }
 
-/// Only a claim that is this attempt's own may go: the key may have been
+/// Deletes the claim only if it belongs to this attempt: the key may have been
 /// released before and claimed by another attempt since.
 Awaitable<void> ClaimStore::release(ClaimKey Key, Claim Unused,
                                     bool MayLandLate) {
   for (int Try = 0; Try < Options_.FinishTries_; ++Try) {
     auto Present = co_await find(Key);
     bool Absent = Present && !*Present;
-    bool Others =
+    bool OwnedByOther =
         Present && *Present && (*Present)->Attempt_ != Unused.Attempt_;
-    if (Others || (Absent && !MayLandLate))
+    if (OwnedByOther || (Absent && !MayLandLate))
       co_return;
     if (Present && *Present) {
       auto Deleted =
--- a/Source/Request/FinalAnswer.cpp
+++ b/Source/Request/FinalAnswer.cpp
@@ -53,9 +53,9 @@
 std::chrono::milliseconds usualRetryAfter(ResultCode Code) {
   constexpr std::chrono::milliseconds AtAnotherDaemon{60};
   constexpr std::chrono::milliseconds AtAnotherServer{200};
-  /// Daemons start together after a loss of power, and are ready soon.
+  /// After a power loss all daemons start together, and are ready soon.
   constexpr std::chrono::milliseconds AfterStart{500};
-  constexpr std::chrono::milliseconds Later{1000};
+  constexpr std::chrono::milliseconds DefaultDelay{1000};
   switch (Code) {
   case ResultCode::NotReady:
     return AfterStart;
@@ -68,7 +68,7 @@
   case ResultCode::RefusedByServer:
     return AtAnotherServer;
   default:
-    return Later;
+    return DefaultDelay;
   }
 }
 
--- a/Source/Request/FinalAnswer.h
+++ b/Source/Request/FinalAnswer.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Final answers that this program writes itself, with outcome and code.
+/// Final answers that the daemon generates itself, with outcome and code.
 
 #include "Common/Ids.h"
 #include "Common/ResultCode.h"
@@ -12,10 +12,10 @@
 
 namespace samphireshunt {
 
-/// How a request ended without a whole answer of a backend server.
+/// How a request ended without a complete answer from a backend server.
 struct Verdict {
   Verdict() = default;
-  /// Not run, with the code's usual time to come back.
+  /// Outcome NotRun, with the default retry delay of \p Code.
   explicit Verdict(ResultCode Code, std::string Detail = "");
 
   Outcome Outcome_ = Outcome::NotRun;
@@ -24,20 +24,23 @@
   std::chrono::milliseconds RetryAfter_{1000};
 };
 
-/// The HTTP status that goes with a code.
+/// \returns the HTTP status for a result code.
 int httpStatus(ResultCode Code);
-/// How long a caller should wait when nothing more is known: for what is only
-/// this daemon's matter hardly at all, since another one will answer.
+/// \returns how long a caller should wait before it retries, when nothing more
+/// specific is known. Conditions of this daemon alone get a very short delay,
+/// since another daemon can serve the retry.
 std::chrono::milliseconds usualRetryAfter(ResultCode Code);
-/// True when asking again later can help, so that Retry-After is given.
+/// \returns true when a later retry can succeed, so that the answer carries
+/// Retry-After.
 bool comesBack(const Verdict &Ended);
-/// The body of an error, as in the OpenAI API, with outcome and code.
+/// \returns the JSON body of an error in the format of the OpenAI API, extended
+/// by outcome and code.
 std::string errorBody(const Verdict &Ended);
-/// The whole answer: status, header fields and body.
-/// \p Fractional: Retry-After may have a fraction of a second.
+/// \returns the complete answer: status, header fields and body.
+/// \param Fractional whether Retry-After may have a fraction of a second.
 HttpResponse finalResponse(const RequestId &Id, const Verdict &Ended,
                            bool Fractional = false);
-/// Adds the fields that every final answer carries.
+/// Adds the header fields that every final answer carries.
 void addOutcomeFields(HttpResponse &Response, const RequestId &Id,
                       Outcome Value, ResultCode Code);
 
--- a/Source/Request/ForwardedCall.cpp
+++ b/Source/Request/ForwardedCall.cpp
@@ -21,34 +21,38 @@
 
 constexpr int StatusMultipleChoices = 300;
 constexpr int StatusInternalError = 500;
-/// Statuses by which a server promises that it did not run the request.
-constexpr std::array PromisingStatuses = {408, 421, 429, 503};
-/// Requests that may be sent again use a connection after this much idleness.
-constexpr milliseconds RepeatableMaxIdle{4000};
-/// With less time left no server could answer.
-constexpr milliseconds LeastTimeLeft{20};
-/// A stream that may go on elsewhere is taken from an engine that is silent for
-/// this long: several times the pause that an engine with a full batch makes.
+/// Statuses that promise a caller that the request was not run.
+constexpr std::array NotRunStatuses = {408, 421, 429, 503};
+/// Maximum idle time of a connection that is reused for a retryable request.
+constexpr milliseconds RetryableMaxIdle{4000};
+/// A request with less time left isn't retried, since no server could answer it
+/// in time.
+constexpr milliseconds MinTimeLeft{20};
+/// A resumable stream is moved to another engine after this much silence. It is
+/// several times the pause between events of an engine with a full batch.
 constexpr milliseconds ResumeAfterSilence{1200};
-/// Of the time left, how long the first server of a repeatable request gets.
+/// The first server of a retryable request gets the remaining time divided by
+/// this.
 constexpr int FirstAttemptDivisor = 2;
-/// Servers that may refuse a request, one after the other.
+/// Maximum number of servers that may refuse a request before it is given up.
 constexpr int MaxRefusals = 3;
 
-/// What became of one dispatch.
+/// The result of one dispatch.
 enum class AttemptEnd {
-  Answered,  ///< The caller has the whole answer.
+  Answered,  ///< The caller has the complete answer.
   NotRun,    ///< The server refused before running.
-  Failed,    ///< It may have run; no answer can be used.
-  Broken,    ///< The caller has a part of the answer.
-  CallerLeft ///< Nobody waits any more.
+  Failed,    ///< It may have run, but there is no usable answer.
+  Broken,    ///< The caller has received only the start of the answer.
+  CallerLeft ///< The caller has disconnected.
 };
 
-bool isPromise(int Status) {
-  return std::ranges::count(PromisingStatuses, Status) > 0;
+bool promisesNotRun(int Status) {
+  return std::ranges::count(NotRunStatuses, Status) > 0;
 }
 
-/// Its caller's leaving, which may come when it has ended, holds it weakly.
+/// One forwarded request, with all of its dispatches. Owned by its coroutine;
+/// the hook for the caller's disconnect holds a weak pointer, since it may be
+/// called after the request has ended.
 class ForwardedCall : public std::enable_shared_from_this<ForwardedCall> {
 public:
   explicit ForwardedCall(RequestContext &Context)
@@ -70,11 +74,11 @@
       reportAttempt(Ended);
       if (Ended == AttemptEnd::Answered)
         co_return reportEnd(Context_, Outcome::Answered, ResultCode::Ok);
-      if (Ended == AttemptEnd::CallerLeft || !mayRepeat(Ended)) {
+      if (Ended == AttemptEnd::CallerLeft || !mayRetry(Ended)) {
         Verdict Final = verdictAfter(Ended);
         co_return co_await finish(std::move(Final));
       }
-      logRepeat(Ended);
+      logRetry(Ended);
     }
   }
 
@@ -83,16 +87,17 @@
 
   SeekOptions seekOptions() {
     SeekOptions Options;
-    Options.MaxIdle_ = Rule_.repeatable() ? RepeatableMaxIdle : ProvedMaxIdle;
-    Options.Excluded_ = Tried_;
+    Options.MaxIdle_ = Rule_.repeatable() ? RetryableMaxIdle : ProvedMaxIdle;
+    Options.Excluded_ = TriedServers_;
     Options.Repeat_ = Sends_ > 0;
-    Options.BeforeDispatch_ = [this] { return checkOnceMore(); };
+    Options.BeforeDispatch_ = [this] { return recheckCaller(); };
     return Options;
   }
 
-  /// The request may have waited: its key may have been taken away, or this
-  /// process may have been paused so long that it can't know.
-  std::optional<Verdict> checkOnceMore() const {
+  /// Checks the caller's key again before the dispatch. While the request
+  /// waited for its grant, the key may have been revoked, or the process may
+  /// have been paused so long that its configuration may be out of date.
+  std::optional<Verdict> recheckCaller() const {
     return checkCallerStillAllowed(Context_);
   }
 
@@ -114,7 +119,7 @@
     if (!Head)
       co_return failed(Head.error());
     AnswerLabels Labels = Dialect_.ReadAnswer_(*Head);
-    // An extra answer of an earlier request may stand where this one's is due.
+    // The connection may deliver an extra answer to an earlier request first.
     if (Labels.CallId_ != Context_.Call_.CallId_)
       co_return failed({ResultCode::CrossedAnswer, Labels.CallId_});
     Replaced_ = Labels.Replaced_;
@@ -122,7 +127,7 @@
       co_return co_await refusedByServer(std::move(*Head));
     bool Success = Head->Status_ < StatusMultipleChoices;
     if (Success && !Labels.Proved_)
-      co_return failed({ResultCode::CrossedAnswer, "answer without proof"});
+      co_return failed({ResultCode::CrossedAnswer, "answer carries no proof"});
     if (isStream() && Success)
       co_return co_await relayEvents(std::move(*Head));
     co_return co_await relayWhole(std::move(*Head));
@@ -144,7 +149,8 @@
     return Request;
   }
 
-  /// A server that hangs must leave time for another one, where one is allowed.
+  /// Timeout for the head of the answer. A server that hangs must leave time
+  /// for another one if the request may be retried.
   milliseconds headTimeout() const {
     auto Left = Context_.remaining();
     bool Last = Sends_ >= static_cast<int>(Rule_.MaxAttempts_);
@@ -154,27 +160,28 @@
                       : Left / FirstAttemptDivisor;
   }
 
+  /// Timeout for the next event of a stream.
   milliseconds eventTimeout() const {
     bool Last = Sends_ >= static_cast<int>(Rule_.MaxAttempts_);
-    auto Patience =
+    auto Timeout =
         Rule_.Resumable_ && !Last ? ResumeAfterSilence : callerPatience(Rule_);
-    return std::min(Context_.remaining(), Patience);
+    return std::min(Context_.remaining(), Timeout);
   }
 
-  /// The caller's leaving closes the server's connection, which makes the
-  /// server stop. A run that must not be repeated goes to its end: nobody could
-  /// tell what took effect of one that is cut short.
+  /// Closes the server's connection when the caller disconnects, which makes
+  /// the server stop. A request that must not be retried runs to its end
+  /// instead: the effects of an interrupted run would be unknown.
   void watchCaller() {
-    bool CutsRun = Rule_.repeatable() || isStream();
-    Context_.Exchange_.onCallerLeft([Weak = weak_from_this(), CutsRun] {
-      if (auto Present = Weak.lock())
-        Present->noteCallerLeft(CutsRun);
+    bool MayInterrupt = Rule_.repeatable() || isStream();
+    Context_.Exchange_.onCallerLeft([Weak = weak_from_this(), MayInterrupt] {
+      if (auto Self = Weak.lock())
+        Self->handleCallerLeft(MayInterrupt);
     });
   }
 
-  void noteCallerLeft(bool CutsRun) {
+  void handleCallerLeft(bool MayInterrupt) {
     CallerLeft_ = true;
-    if (CutsRun && Ready_.Connection_)
+    if (MayInterrupt && Ready_.Connection_)
       Ready_.Connection_->close();
   }
 
@@ -184,33 +191,34 @@
     if (CallerLeft_)
       return AttemptEnd::CallerLeft;
     Faulty_ = !Context_.expired();
-    Cause_ = std::move(Cause);
-    return Begun_ ? AttemptEnd::Broken : AttemptEnd::Failed;
+    LastFailure_ = std::move(Cause);
+    return HeadSent_ ? AttemptEnd::Broken : AttemptEnd::Failed;
   }
 
   Awaitable<AttemptEnd> refusedByServer(HttpResponse Head) {
     bool Whole = co_await readBody(Head);
     if (Whole)
-      giveBack();
+      releaseConnection();
     else
       Ready_.Connection_->close();
-    Cause_ = {ResultCode::RefusedByServer,
-              fmt::format("status {}", Head.Status_)};
+    LastFailure_ = {ResultCode::RefusedByServer,
+                    fmt::format("status {}", Head.Status_)};
     co_return AttemptEnd::NotRun;
   }
 
   Awaitable<bool> readBody(HttpResponse &Answer) {
     while (true) {
-      auto Part = co_await Ready_.Connection_->readSome(Context_.remaining());
-      if (!Part)
+      auto Received =
+          co_await Ready_.Connection_->readSome(Context_.remaining());
+      if (!Received)
         co_return false;
-      if (Part->empty())
+      if (Received->empty())
         co_return true;
-      Answer.Body_ += *Part;
+      Answer.Body_ += *Received;
     }
   }
 
-  void giveBack() {
+  void releaseConnection() {
     Context_.Services_.Connections_.giveBack(Ready_.Server_.Address_,
                                              std::move(Ready_.Connection_));
   }
@@ -218,26 +226,28 @@
   Awaitable<AttemptEnd> relayWhole(HttpResponse Answer) {
     bool Whole = co_await readBody(Answer);
     if (!Whole)
-      co_return failed({ResultCode::ConnectionLost, "answer broke off"});
-    giveBack();
-    if (isPromise(Answer.Status_)) {
-      // It may have run, and the caller would take this for a promise.
+      co_return failed({ResultCode::ConnectionLost,
+                        "connection closed before the end of the answer"});
+    releaseConnection();
+    if (promisesNotRun(Answer.Status_)) {
+      // The request may have run, but the caller would take this status for a
+      // promise that it did not.
       MayHaveRun_ = true;
-      Cause_ = {ResultCode::ServerError,
-                fmt::format("status {}", Answer.Status_)};
+      LastFailure_ = {ResultCode::ServerError,
+                      fmt::format("status {}", Answer.Status_)};
       co_return AttemptEnd::Failed;
     }
-    if (Begun_) {
-      Cause_ = {ResultCode::StreamBroken,
-                fmt::format("status {}", Answer.Status_)};
+    if (HeadSent_) {
+      LastFailure_ = {ResultCode::StreamBroken,
+                      fmt::format("status {}", Answer.Status_)};
       co_return AttemptEnd::Broken;
     }
     if (Answer.Status_ >= StatusInternalError) {
       MayHaveRun_ = true;
       Faulty_ = true;
-      Cause_ = {ResultCode::ServerError,
-                fmt::format("status {}", Answer.Status_)};
-      KeptAnswer_ = std::move(Answer);
+      LastFailure_ = {ResultCode::ServerError,
+                      fmt::format("status {}", Answer.Status_)};
+      ServerErrorAnswer_ = std::move(Answer);
       co_return AttemptEnd::Failed;
     }
     co_await deliver(std::move(Answer));
@@ -249,55 +259,57 @@
     co_await Context_.Exchange_.respond(std::move(Answer));
   }
 
-  /// Passes events on as they come. Of a stream that may be resumed only whole
-  /// ones, so that another engine can go on after them.
+  /// Forwards events as they arrive. For a resumable stream only complete
+  /// events are forwarded, so that another engine can continue after the last
+  /// one.
   Awaitable<AttemptEnd> relayEvents(HttpResponse Head) {
     while (true) {
-      auto Part = co_await Ready_.Connection_->readSome(eventTimeout());
-      if (!Part)
-        co_return failed(Part.error());
-      if (Part->empty())
+      auto Received = co_await Ready_.Connection_->readSome(eventTimeout());
+      if (!Received)
+        co_return failed(Received.error());
+      if (Received->empty())
         break;
       Context_.Pace_.event(Context_.Started_, steady_clock::now());
       if (FirstEvent_ == TimePoint())
-        noteFirstEvent();
-      std::string Ready = Splitter_.feed(*Part);
+        recordFirstEvent();
+      std::string Ready = Splitter_.feed(*Received);
       if (!Rule_.Resumable_) {
-        Ready = std::move(*Part);
+        Ready = std::move(*Received);
         Splitter_.dropRest();
       }
       bool Written = co_await writeEvents(Head, std::move(Ready));
       if (!Written)
-        co_return callerGone();
+        co_return writeFailed();
     }
-    giveBack();
+    releaseConnection();
     std::string Rest = Splitter_.rest();
     bool Written = co_await writeEvents(Head, std::move(Rest));
     if (Written)
       Written = co_await Context_.Exchange_.endStream();
-    co_return Written ? AttemptEnd::Answered : callerGone();
+    co_return Written ? AttemptEnd::Answered : writeFailed();
   }
 
-  void noteFirstEvent() {
+  void recordFirstEvent() {
     FirstEvent_ = steady_clock::now();
     auto Delay = duration_cast<microseconds>(FirstEvent_ - Dispatched_);
     Context_.Services_.Grants_.firstToken(Context_.Id_, Delay);
   }
 
-  /// The head goes out with the first events: until then another server may
-  /// give the answer. A resumed stream keeps the head of its first server.
+  /// Writes events to the caller. The head is sent with the first events, since
+  /// until then another server may answer instead. A resumed stream keeps the
+  /// head of its first server.
   Awaitable<bool> writeEvents(HttpResponse &Head, std::string Events) {
-    if (!Begun_) {
+    if (!HeadSent_) {
       removeHopFields(Head.Fields_);
       bool Written = co_await Context_.Exchange_.beginStream(std::move(Head));
       if (!Written)
         co_return false;
-      Begun_ = true;
+      HeadSent_ = true;
     }
     co_return co_await Context_.Exchange_.writeChunk(std::move(Events));
   }
 
-  AttemptEnd callerGone() {
+  AttemptEnd writeFailed() {
     CallerLeft_ = true;
     if (Ready_.Connection_)
       Ready_.Connection_->close();
@@ -305,32 +317,33 @@
   }
 
   void reportAttempt(AttemptEnd Ended) {
-    ServedSample Seen;
-    Seen.Reached_ = true;
-    Seen.Complete_ = Ended == AttemptEnd::Answered;
-    Seen.Faulty_ = Faulty_;
-    Seen.Replaced_ = Replaced_;
+    ServedSample Sample;
+    Sample.Reached_ = true;
+    Sample.Complete_ = Ended == AttemptEnd::Answered;
+    Sample.Faulty_ = Faulty_;
+    Sample.Replaced_ = Replaced_;
     auto Now = steady_clock::now();
-    Seen.Duration_ = duration_cast<microseconds>(Now - Dispatched_);
+    Sample.Duration_ = duration_cast<microseconds>(Now - Dispatched_);
     if (FirstEvent_ != TimePoint()) {
-      Seen.FirstToken_ = duration_cast<microseconds>(FirstEvent_ - Dispatched_);
+      Sample.FirstToken_ =
+          duration_cast<microseconds>(FirstEvent_ - Dispatched_);
       auto Events = static_cast<std::int64_t>(Splitter_.count());
-      Seen.AtOnce_ = Tokens(Context_.Pool_->TokensPerEvent_);
-      Seen.Generated_ = Tokens(Events * Seen.AtOnce_.count());
+      Sample.AtOnce_ = Tokens(Context_.Pool_->TokensPerEvent_);
+      Sample.Generated_ = Tokens(Events * Sample.AtOnce_.count());
     }
     Context_.Pace_.Events_ = Splitter_.count();
-    Context_.Services_.Grants_.done(Context_.Id_, Seen);
-    Tried_.push_back(Ready_.Server_.Name_);
+    Context_.Services_.Grants_.done(Context_.Id_, Sample);
+    TriedServers_.push_back(Ready_.Server_.Name_);
     Splitter_.dropRest();
   }
 
-  bool mayRepeat(AttemptEnd Ended) {
-    if (CallerLeft_ || Context_.remaining() <= LeastTimeLeft)
+  bool mayRetry(AttemptEnd Ended) {
+    if (CallerLeft_ || Context_.remaining() <= MinTimeLeft)
       return false;
     if (Ended == AttemptEnd::NotRun) {
       if (++Refusals_ > MaxRefusals)
         return false;
-    } else if (!Rule_.repeatable() || !resumesFromAnEvent(Ended) ||
+    } else if (!Rule_.repeatable() || !canContinue(Ended) ||
                ++Runs_ >= static_cast<int>(Rule_.MaxAttempts_)) {
       return false;
     }
@@ -339,44 +352,47 @@
         steady_clock::now());
   }
 
-  /// A stream of which the caller has a part goes on after its last event.
-  bool resumesFromAnEvent(AttemptEnd Ended) const {
+  /// \returns true when the answer can be continued or restarted elsewhere. A
+  /// stream that the caller has partly received needs the id of its last event.
+  bool canContinue(AttemptEnd Ended) const {
     return Ended != AttemptEnd::Broken ||
            (Rule_.Resumable_ && Splitter_.lastId().has_value());
   }
 
-  void logRepeat(AttemptEnd Ended) const {
+  void logRetry(AttemptEnd Ended) const {
     logEvent(LogCategory::Request, spdlog::level::info,
              Ended == AttemptEnd::Broken ? "resumed" : "repeated",
              {{"request", Context_.Id_.str()},
               {"call", Context_.Call_.CallId_},
               {"server", Ready_.Server_.Name_.str()},
-              {"code", std::to_string(static_cast<int>(Cause_.Code_))},
-              {"detail", Cause_.Detail_}});
+              {"code", std::to_string(static_cast<int>(LastFailure_.Code_))},
+              {"detail", LastFailure_.Detail_}});
   }
 
   Verdict verdictAfter(AttemptEnd Ended) const {
-    Verdict Result(Cause_.Code_, Cause_.Detail_);
+    Verdict Result(LastFailure_.Code_, LastFailure_.Detail_);
     if (Ended == AttemptEnd::CallerLeft)
       Result.Code_ = ResultCode::CallerLeft;
     return Result;
   }
 
-  /// No server is left to ask, or none may be asked.
+  /// Ends the request after its last attempt, when no other server is available
+  /// or allowed.
   Awaitable<void> finish(Verdict Ended) {
-    if (Begun_) {
+    if (HeadSent_) {
       Context_.Exchange_.abort();
       co_return reportEnd(Context_, Outcome::Partial, Ended.Code_);
     }
-    if (KeptAnswer_ && !CallerLeft_) {
-      co_await deliver(std::move(*KeptAnswer_));
-      co_return reportEnd(Context_, Outcome::Answered, Cause_.Code_);
+    if (ServerErrorAnswer_ && !CallerLeft_) {
+      co_await deliver(std::move(*ServerErrorAnswer_));
+      co_return reportEnd(Context_, Outcome::Answered, LastFailure_.Code_);
     }
     if (MayHaveRun_) {
-      // A code of the first cause: "not run" would be a lie now.
+      // "not-run" would be wrong here, so the code of the failed attempt is
+      // reported.
       Ended.Outcome_ = Outcome::Unknown;
       if (Ended.Code_ != ResultCode::CallerLeft)
-        Ended.Code_ = Cause_.Code_;
+        Ended.Code_ = LastFailure_.Code_;
     }
     co_await answerVerdict(Context_, std::move(Ended));
   }
@@ -386,15 +402,15 @@
   const ForwardingDialect &Dialect_;
   ReadyServer Ready_;
   EventSplitter Splitter_;
-  std::vector<ServerName> Tried_;
-  std::optional<HttpResponse> KeptAnswer_;
-  Failure Cause_;
+  std::vector<ServerName> TriedServers_;
+  std::optional<HttpResponse> ServerErrorAnswer_;
+  Failure LastFailure_;
   TimePoint Dispatched_;
   TimePoint FirstEvent_;
   int Sends_ = 0;    ///< Dispatches, refused ones too.
   int Runs_ = 0;     ///< Dispatches that may have run.
   int Refusals_ = 0; ///< Dispatches that were refused.
-  bool Begun_ = false;
+  bool HeadSent_ = false;
   bool MayHaveRun_ = false;
   bool Faulty_ = false;
   bool Replaced_ = false;
--- a/Source/Request/ForwardedCall.h
+++ b/Source/Request/ForwardedCall.h
@@ -1,7 +1,7 @@
 #pragma once
 /// \file
 /// Forwards a request to a backend server and its answer to the caller, both
-/// unchanged. What may be repeated follows from the route's rule.
+/// unchanged. The route's forwarding rule decides what may be retried.
 
 #include "Request/RequestContext.h"
 
--- a/Source/Request/ForwardingDialect.cpp
+++ b/Source/Request/ForwardingDialect.cpp
@@ -8,26 +8,27 @@
 
 constexpr int StatusMisdirected = 421;
 
-const std::string &fieldOf(const HttpFields &Fields, const std::string &Name) {
+const std::string &fieldOrEmpty(const HttpFields &Fields,
+                                const std::string &Name) {
   static const std::string Absent;
   auto Found = Fields.find(Name);
   return Found == Fields.end() ? Absent : Found->second;
 }
 
-std::optional<Tokens> tokensOf(const HttpFields &Fields,
-                               const std::string &Name) {
-  auto Count = parseCount(fieldOf(Fields, Name));
+std::optional<Tokens> tokenField(const HttpFields &Fields,
+                                 const std::string &Name) {
+  auto Count = parseCount(fieldOrEmpty(Fields, Name));
   return Count ? std::optional(Tokens(*Count)) : std::nullopt;
 }
 
 CallLabels readCall(const HttpFields &Fields) {
   CallLabels Labels;
-  Labels.CallId_ = fieldOf(Fields, "x-call-id");
-  if (auto Millis = parseCount(fieldOf(Fields, "x-request-timeout-ms")))
+  Labels.CallId_ = fieldOrEmpty(Fields, "x-call-id");
+  if (auto Millis = parseCount(fieldOrEmpty(Fields, "x-request-timeout-ms")))
     Labels.Timeout_ = std::chrono::milliseconds(*Millis);
-  Labels.Prompt_ = tokensOf(Fields, "x-prompt-tokens");
-  Labels.MaxAnswer_ = tokensOf(Fields, "x-answer-tokens");
-  Labels.Parts_ = parsePromptParts(fieldOf(Fields, "x-prompt-parts"));
+  Labels.Prompt_ = tokenField(Fields, "x-prompt-tokens");
+  Labels.MaxAnswer_ = tokenField(Fields, "x-answer-tokens");
+  Labels.Parts_ = parsePromptParts(fieldOrEmpty(Fields, "x-prompt-parts"));
   return Labels;
 }
 
@@ -39,7 +40,7 @@
 
 AnswerLabels readAnswer(const HttpResponse &Head) {
   AnswerLabels Labels;
-  Labels.CallId_ = fieldOf(Head.Fields_, "x-call-id");
+  Labels.CallId_ = fieldOrEmpty(Head.Fields_, "x-call-id");
   Labels.Replaced_ = Head.Status_ == StatusMisdirected;
   Labels.NotRun_ = Head.Fields_.contains("x-not-run") || Labels.Replaced_;
   Labels.Proved_ = Head.Fields_.contains("x-answer-proof");
--- a/Source/Request/ForwardingDialect.h
+++ b/Source/Request/ForwardingDialect.h
@@ -1,8 +1,8 @@
 #pragma once
 /// \file
-/// How forwarded requests and their answers are labelled: typed values, and
-/// hooks that read and write them as header fields. The product's own names are
-/// the default; an adapter may put others in their place.
+/// Metadata of forwarded requests and their answers: typed values, and hooks
+/// that read and write them as header fields. The default hooks use the header
+/// names of samphireshunt itself; an adapter may use others.
 
 #include "Common/Ids.h"
 #include "Connection/Http.h"
@@ -16,58 +16,60 @@
 
 namespace samphireshunt {
 
-/// What a caller says of its request.
+/// Metadata that a caller states about its request.
 struct CallLabels {
-  /// Goes to the backend server and comes back with its answer.
+  /// Sent to the backend server, which echoes it in its answer.
   std::string CallId_;
   std::optional<std::chrono::milliseconds> Timeout_;
   std::optional<Tokens> Prompt_;
   std::optional<Tokens> MaxAnswer_;
-  /// The caller's own guess of the answer's length; often far off.
+  /// The caller's estimate of the answer's length; often far off.
   std::optional<Tokens> GuessedAnswer_;
   std::vector<PromptPart> Parts_;
 };
 
-/// What this program tells a backend server.
+/// Metadata that the daemon sends to a backend server.
 struct ForwardLabels {
   std::chrono::milliseconds Timeout_{0};
-  /// Another server at this address must refuse.
+  /// The intended server. Another server at the same address must refuse.
   ServerName Server_;
   CustomerName Customer_;
 };
 
-/// What a backend server says of its answer.
+/// Metadata that a backend server states about its answer.
 struct AnswerLabels {
   std::string CallId_;
-  /// The server did not run the request and will not.
+  /// The server has not run the request and won't run it.
   bool NotRun_ = false;
-  /// It is not the server that was meant; that one is gone.
+  /// Another server answered at this address; the intended one is gone.
   bool Replaced_ = false;
-  /// The answer bears the server's proof that it is its own.
+  /// The answer carries the server's proof of authenticity.
   bool Proved_ = false;
-  /// Requests that wait in the server, if it tells.
+  /// Requests queued in the server, if it reports them.
   std::optional<std::uint32_t> Waiting_;
 };
 
+/// Hooks that translate between metadata and header fields.
 struct ForwardingDialect {
   std::function<CallLabels(const HttpFields &)> ReadCall_;
-  /// Replaces in a request's fields what this program sets or withholds.
+  /// Sets or removes the fields of a request that the daemon controls.
   std::function<void(HttpFields &, const ForwardLabels &)> WriteForward_;
   std::function<AnswerLabels(const HttpResponse &)> ReadAnswer_;
-  /// Names the request in an answer of this program's own.
+  /// Adds the call id to an answer that the daemon generates itself.
   std::function<void(HttpFields &, const std::string &CallId)> NameAnswer_;
   /// Retry-After may have a fraction of a second.
   bool FractionalRetryAfter_ = false;
 };
 
-/// The product's own names: x-call-id, x-request-timeout-ms, x-prompt-tokens,
-/// x-answer-tokens, x-prompt-parts (HEX:TOKENS,...), x-expect-server,
-/// x-customer, x-not-run, x-answer-proof.
+/// \returns the default dialect, with the fields x-call-id,
+/// x-request-timeout-ms, x-prompt-tokens, x-answer-tokens, x-prompt-parts
+/// (HEX:TOKENS,...), x-expect-server, x-customer, x-not-run, x-answer-proof.
 ForwardingDialect ownDialect();
 
-/// Parses "HEX:TOKENS,HEX:TOKENS"; what can't be read ends the list.
+/// Parses "HEX:TOKENS,HEX:TOKENS". The list ends before the first item that
+/// is malformed.
 std::vector<PromptPart> parsePromptParts(std::string_view Text);
-/// \returns nothing unless \p Text is a whole number from 0.
+/// \returns nothing unless \p Text is a non-negative integer.
 std::optional<std::int64_t> parseCount(std::string_view Text);
 
 } // namespace samphireshunt
--- a/Source/Request/GrantWait.cpp
+++ b/Source/Request/GrantWait.cpp
@@ -40,9 +40,9 @@
 }
 
 void GrantWait::deliver(GrantAnswer Answer) {
-  // The wait may have ended between the keeper's answer and now. Its
-  // withdrawal is on the way to the control thread, where it hands the grant
-  // back; nothing may be dispatched on it here.
+  // The wait may have ended after the keeper answered. The withdrawal is then
+  // already posted to the control thread and returns the grant there, so the
+  // grant must not be used here.
   if (!Waiting_)
     return;
   Answer_ = std::move(Answer);
--- a/Source/Request/GrantWait.h
+++ b/Source/Request/GrantWait.h
@@ -1,7 +1,7 @@
 #pragma once
 /// \file
-/// A request's wait for its grant: ends with the keeper's answer, the deadline
-/// or the caller's leaving, whichever is first.
+/// Waits for a request's grant until the keeper answers, the deadline passes or
+/// the caller disconnects, whichever is first.
 
 #include "Process/Keeping/GrantClient.h"
 
@@ -13,17 +13,20 @@
 
 namespace samphireshunt {
 
-/// Used on one worker's executor; deliver() may be called from any thread.
+/// Used on one worker's executor only. The keeper's answer may come on any
+/// thread; it is posted to the executor.
 class GrantWait : public std::enable_shared_from_this<GrantWait> {
 public:
   static std::shared_ptr<GrantWait>
   create(boost::asio::any_io_executor Executor, GrantClient &Grants,
          RequestId Id);
 
-  /// Waits until \p Deadline. \returns nothing when it passed or the caller
-  /// left; the ask is then withdrawn, and a late grant is handed back.
+  /// Requests a grant and waits until \p Deadline. \returns nothing when it
+  /// passed or the caller disconnected; the grant request is withdrawn then,
+  /// and a grant that still comes is returned to the keeper.
   Awaitable<std::optional<GrantAnswer>> wait(CellId Cell, AskedRequest Request,
                                              TimePoint Deadline);
+  /// Ends the wait because the caller disconnected.
   void callerLeft();
   bool hasCallerLeft() const { return CallerLeft_; }
 
--- a/Source/Request/Lateness.h
+++ b/Source/Request/Lateness.h
@@ -1,6 +1,7 @@
 #pragma once
 /// \file
-/// Whether an answer came within its route's objective and, if not, why.
+/// Whether an answer met its route's objective and, if not, which part of the
+/// objective it missed.
 
 #include "Version/Document.h"
 
@@ -11,22 +12,23 @@
 
 enum class Lateness {
   InTime,
-  First,   ///< The first event, or the whole of a plain answer, came late.
-  Pause,   ///< Two events of a stream were too far apart.
-  Attempt, ///< In time by itself; an earlier attempt had used the time up.
+  First,   ///< The first event, or a plain answer, missed the objective.
+  Pause,   ///< The pause between two events of a stream was too long.
+  Attempt, ///< In time by itself, but earlier attempts used up the time.
 };
 
-/// E.g. "pause".
+/// \returns the value of the log field "late", e.g. "pause".
 std::string_view latenessName(Lateness Value);
 
-/// How an answer came, all in ms.
+/// Measured times of an answer.
 struct AnswerTimes {
   std::chrono::milliseconds First_{0};
   std::chrono::milliseconds LongestPause_{0};
-  /// From the caller's first attempt to this one.
+  /// Time between the caller's first attempt and this one.
   std::chrono::milliseconds SinceFirstAttempt_{0};
 };
 
+/// Classifies an answer's times by the objective of its route.
 Lateness latenessOf(const ForwardingRule &Rule, const AnswerTimes &Times);
 
 } // namespace samphireshunt
--- a/Source/Request/ModelCall.cpp
+++ b/Source/Request/ModelCall.cpp
@@ -1,7 +1,7 @@
 /// \file
-/// A request to a model engine. The engine is always asked for a stream, also
-/// for a caller who wants one answer: so progress is seen, silence is noticed,
-/// and a cut stream can be resumed where it broke.
+/// A request to a model engine. The engine always streams its answer, even if
+/// the caller wants a single one, so that progress and silence are noticed and
+/// an interrupted stream can be resumed where it broke off.
 
 #include "Common/Log.h"
 #include "Connection/EventStream.h"
@@ -28,16 +28,15 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-/// Silence after which a stream's connection is taken for dead.
+/// A stream's connection is considered broken after this much silence.
 constexpr milliseconds SilenceTimeout{1000};
 constexpr milliseconds ResumeTimeout{1000};
-/// Resumes in a row that brought no event.
+/// Maximum number of consecutive resumes without a new event.
 constexpr int MaxIdleResumes = 8;
-constexpr std::string_view LastEvent = "[DONE]";
+constexpr std::string_view FinalEvent = "[DONE]";
 
-/// Cancels a request at its engine. Also for one that the engine has not seen
-/// yet: it remembers the id and refuses it later. \returns the answer's status
-/// and text.
+/// Cancels a request at its engine. An engine that hasn't received the request
+/// yet remembers the id and refuses it later. \returns the engine's answer.
 Awaitable<Result<HttpResponse>> cancelAt(Endpoint Address, RequestId Id) {
   HttpRequest Request;
   Request.Method_ = "DELETE";
@@ -45,8 +44,8 @@
   return httpCall(Address, std::move(Request), ResumeTimeout);
 }
 
-/// The number in an event's id "<request>:<number>", when the event belongs
-/// to \p Id.
+/// \returns the number in an event's id "<request>:<number>", or nothing when
+/// the event doesn't belong to \p Id.
 std::optional<std::uint64_t> eventNumber(const ServerSentEvent &Event,
                                          const RequestId &Id) {
   std::size_t Colon = Event.Id_.find(':');
@@ -61,8 +60,9 @@
   return Number;
 }
 
-/// Shared with nobody: who may end it holds it weakly, since both the caller's
-/// leaving and the keeper's cancellation may come when it has ended.
+/// One request to a model engine. Owned by its coroutine alone; hooks hold weak
+/// pointers, since the caller's disconnect and the keeper's cancellation may
+/// both come after the request has ended.
 class ModelCall : public std::enable_shared_from_this<ModelCall> {
 public:
   explicit ModelCall(RequestContext &Context) : Context_(Context) {}
@@ -78,13 +78,13 @@
     }
     Ready_ = std::move(std::get<ReadyServer>(Obtained));
     Dispatched_ = steady_clock::now();
-    co_await listenForCancel();
+    co_await watchForCancellation();
     std::optional<Verdict> Broken = co_await exchange();
     Context_.Services_.Grants_.done(Context_.Id_, sample(!Broken));
     if (Broken)
-      co_await answerBroken(std::move(*Broken));
+      co_await answerIncomplete(std::move(*Broken));
     else
-      co_await answerWhole();
+      co_await answerComplete();
   }
 
 private:
@@ -93,20 +93,20 @@
     return Body.is_object() && Body.value("stream", false);
   }
 
-  /// The keeper may take the engine for a higher tier, and the caller may
-  /// leave: both end the read that is under way.
-  Awaitable<void> listenForCancel() {
+  /// Installs the hooks that end the pending read when the keeper revokes the
+  /// engine for a higher tier or the caller disconnects.
+  Awaitable<void> watchForCancellation() {
     auto Executor = co_await asio::this_coro::executor;
     auto Stop = [Weak = weak_from_this(), Executor] {
       asio::post(Executor, [Weak] {
-        if (auto Present = Weak.lock())
-          Present->cancel();
+        if (auto Self = Weak.lock())
+          Self->cancel();
       });
     };
     Context_.Services_.Grants_.dispatched(Context_.Id_, std::move(Stop));
     Context_.Exchange_.onCallerLeft([Weak = weak_from_this()] {
-      if (auto Present = Weak.lock())
-        Present->callerLeft();
+      if (auto Self = Weak.lock())
+        Self->callerLeft();
     });
   }
 
@@ -118,14 +118,15 @@
     CallerLeft_ = true;
     closeConnection();
   }
-  /// After a whole answer the connection is kept for other requests.
+  /// Does nothing after a complete answer: the connection has been released for
+  /// other requests then.
   void closeConnection() {
     if (Ready_.Connection_)
       Ready_.Connection_->close();
   }
 
   /// Sends the request and reads the answer to its end. \returns nothing when
-  /// it came whole.
+  /// the answer is complete.
   Awaitable<std::optional<Verdict>> exchange() {
     std::size_t SpanNumber = Context_.Trace_.begin("dispatch");
     Context_.Trace_.attribute(SpanNumber, "server", Ready_.Server_.Name_.str());
@@ -144,14 +145,14 @@
           std::min(SilenceTimeout, Context_.remaining()));
       Attached = Head.has_value();
       if (Attached && Head->Status_ != 200)
-        co_return co_await refusedHead(std::move(*Head));
+        co_return co_await verdictOfStatus(std::move(*Head));
     }
-    while (!Whole_ && !Broken) {
+    while (!AnswerComplete_ && !Broken) {
       if (Attached)
         Broken = co_await readEvents();
-      if (Whole_ || Broken)
+      if (AnswerComplete_ || Broken)
         break;
-      Broken = endedEarly();
+      Broken = reasonToStop();
       if (!Broken) {
         auto Resumed = co_await resume();
         if (Resumed)
@@ -160,14 +161,15 @@
       }
     }
     if (Broken)
-      co_await stopEngine(*Broken);
+      co_await cancelAtEngine(*Broken);
     co_return Broken;
   }
 
-  Awaitable<std::optional<Verdict>> refusedHead(HttpResponse Head) {
+  Awaitable<std::optional<Verdict>> verdictOfStatus(HttpResponse Head) {
     Verdict Ended;
-    // Only a server that is declared to refuse before it runs anything may be
-    // believed: another one's 503 can come from the middle of a run.
+    // The status proves that nothing ran only if the server is declared to
+    // refuse before it runs anything: another server may send 503 in the middle
+    // of a run.
     bool Refused = Ready_.Server_.RefusesBeforeRunning_ &&
                    (Head.Status_ == 503 || Head.Status_ == 429);
     Ended.Outcome_ = Refused ? Outcome::NotRun : Outcome::Unknown;
@@ -178,40 +180,41 @@
     co_return Ended;
   }
 
-  /// Reads until the connection breaks or the answer is whole.
+  /// Reads events until the connection breaks or the answer is complete.
   Awaitable<std::optional<Verdict>> readEvents() {
     EventStream Parser;
-    while (!Whole_) {
-      auto Part = co_await Ready_.Connection_->readSome(
+    while (!AnswerComplete_) {
+      auto Received = co_await Ready_.Connection_->readSome(
           std::min(SilenceTimeout, Context_.remaining()));
-      if (!Part || Part->empty())
+      if (!Received || Received->empty())
         co_return std::nullopt;
-      for (ServerSentEvent &Event : Parser.feed(*Part)) {
-        auto Broken = co_await take(std::move(Event));
-        if (Broken || Whole_)
+      for (ServerSentEvent &Event : Parser.feed(*Received)) {
+        auto Broken = co_await handleEvent(std::move(Event));
+        if (Broken || AnswerComplete_)
           co_return Broken;
       }
     }
     co_return std::nullopt;
   }
 
-  /// One event: it must be this request's, and the next in number.
-  Awaitable<std::optional<Verdict>> take(ServerSentEvent Event) {
+  /// Processes one event. An event of another request is an error; one that is
+  /// not the next in sequence is skipped.
+  Awaitable<std::optional<Verdict>> handleEvent(ServerSentEvent Event) {
     auto Number = eventNumber(Event, Context_.Id_);
     if (!Number) {
       Verdict Crossed;
-      Crossed.Outcome_ = Begun_ ? Outcome::Partial : Outcome::Unknown;
+      Crossed.Outcome_ = HeadSent_ ? Outcome::Partial : Outcome::Unknown;
       Crossed.Code_ = ResultCode::CrossedAnswer;
       co_return Crossed;
     }
     if (*Number != NextEvent_)
-      co_return std::nullopt; // Sent again after a resume.
+      co_return std::nullopt; // Sent again by the engine after a resume.
     ++NextEvent_;
     IdleResumes_ = 0;
     if (NextEvent_ == 1)
-      noteFirstToken();
-    if (Event.Data_ == LastEvent) {
-      Whole_ = true;
+      recordFirstToken();
+    if (Event.Data_ == FinalEvent) {
+      AnswerComplete_ = true;
       co_return std::nullopt;
     }
     if (!Streaming_) {
@@ -224,7 +227,7 @@
     co_return std::nullopt;
   }
 
-  void noteFirstToken() {
+  void recordFirstToken() {
     FirstToken_ =
         duration_cast<microseconds>(steady_clock::now() - Dispatched_);
     Context_.Services_.Grants_.firstToken(Context_.Id_, FirstToken_);
@@ -232,6 +235,7 @@
     Context_.Trace_.begin("stream");
   }
 
+  /// Appends an event's text to the answer of a caller that wants no stream.
   void collect(const std::string &Data) {
     Json Chunk = Json::parse(Data, nullptr, false);
     if (!Chunk.is_object() || !Chunk.contains("choices"))
@@ -247,14 +251,14 @@
   }
 
   Awaitable<void> forward(std::string Text) {
-    if (!Begun_) {
+    if (!HeadSent_) {
       HttpResponse Head;
       Head.Fields_["content-type"] = "text/event-stream";
       Head.Fields_["cache-control"] = "no-store";
       Head.Fields_["x-request-id"] = Context_.Id_.str();
       Head.Fields_["x-served-by"] = Context_.Services_.Vm_.str();
       Head.Fields_["x-backend-server"] = Ready_.Server_.Name_.str();
-      Begun_ = true;
+      HeadSent_ = true;
       CallerLeft_ |= !co_await Context_.Exchange_.beginStream(std::move(Head));
     }
     if (!CallerLeft_)
@@ -263,10 +267,10 @@
       closeConnection();
   }
 
-  /// A reason not to go on after the connection broke.
-  std::optional<Verdict> endedEarly() const {
+  /// \returns the reason not to resume after the connection broke, if any.
+  std::optional<Verdict> reasonToStop() const {
     Verdict Ended;
-    Ended.Outcome_ = Begun_ ? Outcome::Partial : Outcome::Unknown;
+    Ended.Outcome_ = HeadSent_ ? Outcome::Partial : Outcome::Unknown;
     if (CallerLeft_)
       Ended.Code_ = ResultCode::CallerLeft;
     else if (Cancelled_)
@@ -280,18 +284,19 @@
     return Ended;
   }
 
-  /// A connection can break or go silent in the middle of an answer while the
-  /// engine works on. The same engine is asked on a new connection for the
-  /// rest; that is no second dispatch, since it runs nothing anew.
+  /// Requests the rest of the answer from the same engine on a new connection.
+  /// A connection can break or go silent while the engine continues to work.
+  /// This is not a second dispatch, since the engine doesn't run the request
+  /// again.
   Awaitable<std::optional<Verdict>> resume() {
     ++IdleResumes_;
     Ready_.Connection_->close();
     auto Connected = co_await HttpConnection::connect(
         Ready_.Server_.Address_, std::min(ResumeTimeout, Context_.remaining()));
     Verdict Broken;
-    Broken.Outcome_ = Begun_ ? Outcome::Partial : Outcome::Unknown;
+    Broken.Outcome_ = HeadSent_ ? Outcome::Partial : Outcome::Unknown;
     Broken.Code_ =
-        Begun_ ? ResultCode::StreamBroken : ResultCode::ConnectionLost;
+        HeadSent_ ? ResultCode::StreamBroken : ResultCode::ConnectionLost;
     if (!Connected) {
       Broken.Detail_ = Connected.error().Detail_;
       co_return Broken;
@@ -302,12 +307,12 @@
         fmt::format("/v1/requests/{}?from={}", Context_.Id_.str(), NextEvent_);
     auto Sent = co_await Ready_.Connection_->send(Request, ResumeTimeout);
     if (!Sent)
-      co_return std::nullopt; // The next try opens another connection.
+      co_return std::nullopt; // The next attempt opens another connection.
     auto Head = co_await Ready_.Connection_->readHead(ResumeTimeout);
     if (!Head || Head->Status_ == 200)
       co_return std::nullopt;
-    bool NeverSeen = Head->Status_ == 404 && NextEvent_ == 0;
-    if (NeverSeen && co_await proveNotRun()) {
+    bool NeverReceived = Head->Status_ == 404 && NextEvent_ == 0;
+    if (NeverReceived && co_await proveNotRun()) {
       Broken.Outcome_ = Outcome::NotRun;
       Broken.Code_ = ResultCode::RefusedByServer;
     }
@@ -315,9 +320,10 @@
     co_return Broken;
   }
 
-  /// The engine does not know the request: its bytes were lost, or are still
-  /// on their way on the dead connection. A cancellation makes the engine
-  /// refuse the id from now on; only its answer proves that nothing will run.
+  /// Checks whether the engine has not run the request and never will. An
+  /// engine that doesn't know the request may still receive it from the broken
+  /// connection. A cancellation makes it refuse the id from then on; only the
+  /// engine's answer to it proves that nothing will run.
   Awaitable<bool> proveNotRun() {
     if (!Ready_.Server_.RefusesBeforeRunning_)
       co_return false;
@@ -328,8 +334,9 @@
     co_return Body.is_object() && Body.value("state", "") == "never-seen";
   }
 
-  /// Nobody wants the rest: the engine's place is freed.
-  Awaitable<void> stopEngine(const Verdict &Ended) {
+  /// Cancels the request at the engine, which frees its slot: the rest of the
+  /// answer isn't needed.
+  Awaitable<void> cancelAtEngine(const Verdict &Ended) {
     Ready_.Connection_->close();
     if (Ended.Outcome_ == Outcome::NotRun)
       co_return;
@@ -340,20 +347,21 @@
   }
 
   ServedSample sample(bool Complete) const {
-    ServedSample Seen;
-    Seen.Reached_ = true;
-    Seen.Complete_ = Complete;
-    Seen.Generated_ = Tokens(static_cast<std::int64_t>(NextEvent_));
-    Seen.FirstToken_ = FirstToken_;
-    Seen.Duration_ =
+    ServedSample Sample;
+    Sample.Reached_ = true;
+    Sample.Complete_ = Complete;
+    Sample.Generated_ = Tokens(static_cast<std::int64_t>(NextEvent_));
+    Sample.FirstToken_ = FirstToken_;
+    Sample.Duration_ =
         duration_cast<microseconds>(steady_clock::now() - Dispatched_);
-    return Seen;
+    return Sample;
   }
 
-  /// A broken stream must not look whole: it ends with an error event, without
-  /// the last event, and its connection closes without the last chunk.
-  Awaitable<void> answerBroken(Verdict Ended) {
-    if (!Begun_)
+  /// Ends the request without a complete answer. A broken stream must not look
+  /// complete: it ends with an error event instead of the final event, and its
+  /// connection closes without the last chunk.
+  Awaitable<void> answerIncomplete(Verdict Ended) {
+    if (!HeadSent_)
       co_return co_await answerVerdict(Context_, std::move(Ended));
     if (!CallerLeft_) {
       ServerSentEvent Event;
@@ -365,20 +373,21 @@
     reportEnd(Context_, Ended.Outcome_, Ended.Code_);
   }
 
-  Awaitable<void> answerWhole() {
+  Awaitable<void> answerComplete() {
     Context_.Services_.Connections_.giveBack(Ready_.Server_.Address_,
                                              std::move(Ready_.Connection_));
     if (Streaming_) {
-      // A comment: clients of the OpenAI API pass over it.
+      // The outcome is sent as a comment, which clients of the OpenAI API
+      // ignore.
       ServerSentEvent Last;
-      Last.Data_ = LastEvent;
+      Last.Data_ = FinalEvent;
       co_await forward(": outcome=answered code=0\n\n" + formatEvent(Last));
       bool Sent = co_await Context_.Exchange_.endStream();
       reportEnd(Context_, Outcome::Answered,
                 Sent ? ResultCode::Ok : ResultCode::CallerLeft);
       co_return;
     }
-    HttpResponse Response = jsonResponse(200, wholeBody());
+    HttpResponse Response = jsonResponse(200, completionBody());
     addOutcomeFields(Response, Context_.Id_, Outcome::Answered, ResultCode::Ok);
     Response.Fields_["x-served-by"] = Context_.Services_.Vm_.str();
     Response.Fields_["x-backend-server"] = Ready_.Server_.Name_.str();
@@ -386,7 +395,7 @@
     reportEnd(Context_, Outcome::Answered, ResultCode::Ok);
   }
 
-  std::string wholeBody() const {
+  std::string completionBody() const {
     Json Message;
     Message["role"] = "assistant";
     Message["content"] = Collected_;
@@ -410,8 +419,8 @@
   int IdleResumes_ = 0;
   std::size_t FirstTokenSpan_ = 0;
   bool Streaming_ = false;
-  bool Begun_ = false;
-  bool Whole_ = false;
+  bool HeadSent_ = false;
+  bool AnswerComplete_ = false;
   bool CallerLeft_ = false;
   bool Cancelled_ = false;
   std::string Collected_;
--- a/Source/Request/RepeatBudget.cpp
+++ b/Source/Request/RepeatBudget.cpp
@@ -6,9 +6,10 @@
 
 namespace {
 
-/// Windows slide, counts go by parts of them, and daemons come and go: a
-/// quarter of the budget is left unused for what that makes of it.
-constexpr double UsedPart = 0.75;
+/// Fraction of the budget that is used. The rest compensates for counts that
+/// are only accurate to a slot of the sliding window, and for changes in the
+/// number of daemons.
+constexpr double UsedFraction = 0.75;
 
 } // namespace
 
@@ -22,14 +23,14 @@
 
 bool RepeatBudget::tryRepeat(const PoolName &Pool, std::size_t Daemons,
                              TimePoint Now) {
-  Counts &Known = countsOf(Pool);
+  Counts &PoolCounts = countsOf(Pool);
   double Extra =
       Options_.Extra_ / static_cast<double>(std::max<std::size_t>(1, Daemons));
   double Allowed =
-      UsedPart * (Options_.Ratio_ * Known.Requests_.sum(Now) + Extra);
-  if (Known.Repeats_.sum(Now) + 1 > Allowed)
+      UsedFraction * (Options_.Ratio_ * PoolCounts.Requests_.sum(Now) + Extra);
+  if (PoolCounts.Repeats_.sum(Now) + 1 > Allowed)
     return false;
-  Known.Repeats_.add(Now);
+  PoolCounts.Repeats_.add(Now);
   return true;
 }
 
--- a/Source/Request/RepeatBudget.h
+++ b/Source/Request/RepeatBudget.h
@@ -1,12 +1,13 @@
 #pragma once
 /// \file
-/// How often requests may be sent to a second server. Pure: the time is an
-/// argument.
+/// Retry budget: limits how often requests may be sent to a second server. The
+/// current time is always an argument.
 ///
-/// Load pattern: when a pool fails or refuses much, sending everything once
-/// more doubles its load just then. Repeats are bounded by a part of the pool's
-/// requests, and by a small number on top for pools with few of them. Each
-/// daemon counts for itself, and takes its part of the number on top.
+/// When a pool fails or refuses many requests, retrying all of them would
+/// double its load at that very time. Retries are therefore limited to a
+/// fraction of the pool's requests, plus a small allowance for pools with few
+/// requests. Each daemon counts its own requests and uses its share of the
+/// allowance.
 
 #include "Common/Ids.h"
 #include "Common/SlidingCount.h"
@@ -20,18 +21,19 @@
   using TimePoint = std::chrono::steady_clock::time_point;
 
   struct Options {
-    /// Repeats by requests, within the window.
+    /// Retries per request within the window.
     double Ratio_ = 0.2;
-    /// Repeats on top, of the whole fleet.
+    /// Additional retries within the window, for the whole fleet together.
     double Extra_ = 10;
     std::chrono::milliseconds Window_{10000};
   };
 
   explicit RepeatBudget(Options Settings) : Options_(Settings) {}
 
+  /// Counts a request of \p Pool, which extends its budget.
   void noteRequest(const PoolName &Pool, TimePoint Now);
-  /// \returns true, and counts the repeat, when there is room for it in a
-  /// fleet of \p Daemons.
+  /// \returns true, and counts the retry, when the budget of \p Pool allows one
+  /// more in a fleet of \p Daemons daemons.
   bool tryRepeat(const PoolName &Pool, std::size_t Daemons, TimePoint Now);
 
 private:
--- a/Source/Request/RequestContext.cpp
+++ b/Source/Request/RequestContext.cpp
@@ -21,10 +21,11 @@
 
 namespace {
 
-/// Servers tried for one request while none could be connected to.
-constexpr int MaxServerTries = 4;
+/// Maximum number of grants requested for one dispatch, e.g. while no
+/// connection can be established.
+constexpr int MaxGrantRequests = 4;
 
-/// Fields that belong to one hop, or that only this program may see.
+/// Hop-by-hop fields, fields that address this proxy alone, and Content-Length.
 constexpr std::array<std::string_view, 10> HopFields = {"connection",
                                                         "keep-alive",
                                                         "proxy-authorization",
@@ -35,17 +36,18 @@
                                                         "proxy-connection",
                                                         "proxy-authenticate",
                                                         "content-length"};
-/// The key is this program's matter alone.
-constexpr std::string_view KeyField = "authorization";
-/// Left of a deadline, a request that is refused may use this part to wait.
-constexpr int RetryPart = 3;
+/// Carries the caller's key, which backend servers must not see.
+constexpr std::string_view CallerKeyField = "authorization";
+/// A refused caller is told to wait for at most the remaining time divided by
+/// this; the jitter takes off at most the same fraction of the delay.
+constexpr int RetryDelayDivisor = 3;
 
 CellId cellFor(const RequestContext &Context, int Attempt) {
   std::uint32_t Count = cellCount(*Context.Pool_);
-  // Requests that share their first block go to the same cell, since its
-  // engines are where the block may be cached.
-  // The first part of a forwarded prompt is shared by nearly all; the last
-  // one belongs to its session.
+  // Requests that share their first block go to the same cell, whose engines
+  // may have the block cached. For forwarded prompts the last part is used
+  // instead: it belongs to one session, while nearly all prompts share the
+  // first part.
   std::uint64_t Affinity =
       Context.Prefix_.empty() ? Context.Id_.Sequence_ : Context.Prefix_.front();
   if (!Context.Call_.Parts_.empty())
@@ -55,31 +57,31 @@
   return {Context.document().Service_, Context.Pool_->Name_, Index};
 }
 
-AskedRequest askFor(const RequestContext &Context,
-                    const std::vector<ServerName> &Excluded) {
-  AskedRequest Asked;
-  Asked.Id_ = Context.Id_;
-  Asked.Tier_ = Context.Tier_;
+AskedRequest makeGrantRequest(const RequestContext &Context,
+                              const std::vector<ServerName> &Excluded) {
+  AskedRequest Request;
+  Request.Id_ = Context.Id_;
+  Request.Tier_ = Context.Tier_;
   if (Context.Customer_)
-    Asked.Customer_ = Context.Customer_->Name_;
-  Asked.Deadline_ = Context.Deadline_;
-  Asked.Prompt_ = Context.PromptTokens_;
-  Asked.Answer_ = Context.AnswerTokens_;
-  Asked.Prefix_ = Context.Prefix_;
-  Asked.Parts_ = Context.Call_.Parts_;
-  Asked.NonIdempotent_ = Context.Route_->NonIdempotent_;
-  Asked.Excluded_ = Excluded;
+    Request.Customer_ = Context.Customer_->Name_;
+  Request.Deadline_ = Context.Deadline_;
+  Request.Prompt_ = Context.PromptTokens_;
+  Request.Answer_ = Context.AnswerTokens_;
+  Request.Prefix_ = Context.Prefix_;
+  Request.Parts_ = Context.Call_.Parts_;
+  Request.NonIdempotent_ = Context.Route_->NonIdempotent_;
+  Request.Excluded_ = Excluded;
   if (Context.Route_->Forwarding_) {
     const ForwardingRule &Rule = *Context.Route_->Forwarding_;
     RequestTimes Times{Context.Started_, Context.Deadline_,
                        Context.SinceFirstAttempt_};
     WaitPlan Plan = planWait(Rule, Times, steady_clock::now());
-    Asked.Objective_ = Plan.Objective_;
-    Asked.MaxWait_ = Plan.MaxWait_;
-    Asked.MaxPause_ = Rule.MaxEventGap_;
-    Asked.Guessed_ = Context.Call_.GuessedAnswer_.value_or(Tokens(0));
+    Request.Objective_ = Plan.Objective_;
+    Request.MaxWait_ = Plan.MaxWait_;
+    Request.MaxPause_ = Rule.MaxEventGap_;
+    Request.Guessed_ = Context.Call_.GuessedAnswer_.value_or(Tokens(0));
   }
-  return Asked;
+  return Request;
 }
 
 std::string millisText(std::chrono::nanoseconds Time) {
@@ -102,8 +104,8 @@
   return latenessOf(*Context.Route_->Forwarding_, Times);
 }
 
-/// One line for a request's end, with what decided it; at most so many a second
-/// of each code.
+/// Logs the end of a request with the data that explains it. The rate is
+/// limited for each result code.
 void logEnd(const RequestContext &Context, Outcome Value, ResultCode Code) {
   auto Level = spdlog::level::info;
   if (!spdlog::should_log(Level))
@@ -178,8 +180,8 @@
 }
 
 milliseconds RequestContext::remaining() const {
-  auto Rest = duration_cast<milliseconds>(Deadline_ - steady_clock::now());
-  return std::max(Rest, milliseconds(1));
+  auto Left = duration_cast<milliseconds>(Deadline_ - steady_clock::now());
+  return std::max(Left, milliseconds(1));
 }
 
 bool RequestContext::expired() const {
@@ -193,20 +195,20 @@
                                 Grants, Context.Id_);
   std::weak_ptr<GrantWait> Weak = Wait;
   Context.Exchange_.onCallerLeft([Weak] {
-    if (auto Present = Weak.lock())
-      Present->callerLeft();
+    if (auto Self = Weak.lock())
+      Self->callerLeft();
   });
   std::vector<ServerName> Excluded = std::move(Options.Excluded_);
   Verdict Ended = notRun(ResultCode::ConnectFailed);
   std::uint32_t Cells = cellCount(*Context.Pool_);
   std::uint32_t CellTries = 0;
-  for (int Try = 0; Try < MaxServerTries && !Context.expired(); ++Try) {
+  for (int Try = 0; Try < MaxGrantRequests && !Context.expired(); ++Try) {
     std::size_t SpanNumber = Context.Trace_.begin("wait-for-grant");
     CellId Cell = cellFor(Context, static_cast<int>(CellTries));
-    AskedRequest Asked = askFor(Context, Excluded);
-    Asked.AskedBefore_ = CellTries > 0 || Options.Repeat_ ||
-                         Context.SinceFirstAttempt_.count() > 0;
-    auto Answer = co_await Wait->wait(std::move(Cell), std::move(Asked),
+    AskedRequest Request = makeGrantRequest(Context, Excluded);
+    Request.AskedBefore_ = CellTries > 0 || Options.Repeat_ ||
+                           Context.SinceFirstAttempt_.count() > 0;
+    auto Answer = co_await Wait->wait(std::move(Cell), std::move(Request),
                                       Context.Deadline_);
     Context.Trace_.end(SpanNumber);
     Context.Waited_ =
@@ -219,14 +221,14 @@
     if (Answer->Code_ != ResultCode::Ok) {
       Ended = notRun(Answer->Code_);
       Ended.RetryAfter_ = Answer->RetryAfter_;
-      // Another cell of the pool may have room for what this one refused.
+      // Another cell of the pool may have capacity for the request.
       bool MoreCells = ++CellTries < Cells;
       if (MoreCells && Answer->Code_ != ResultCode::ShedForHigherTier)
         continue;
       break;
     }
-    // The server may have begun to leave while the request waited: only the
-    // newest snapshot counts, not the one that the request began with.
+    // The server may have started to leave while the request waited, so the
+    // newest snapshot is checked, not the one that the request started with.
     auto Newest = Context.Services_.Documents_.snapshot();
     const BackendServer *Server = Newest->activeServer(
         Context.document().Service_, Context.Pool_->Name_, Answer->Server_);
@@ -258,10 +260,10 @@
     }
     if (Options.BeforeDispatch_)
       Refused = Options.BeforeDispatch_();
-    // After a pause of this process the event of the caller's leaving may still
-    // wait for its turn: engines would get requests that nobody waits for, with
-    // callers gone for as long as the pause was. So its connection is looked
-    // at.
+    // After a pause of this process the event for the caller's disconnect may
+    // still be queued in the event loop. Engines would then get requests whose
+    // callers left during the pause, so the caller's connection is checked
+    // directly.
     bool CallerLeft =
         Wait->hasCallerLeft() || Context.Exchange_.hasCallerLeft();
     if (Refused || CallerLeft) {
@@ -269,7 +271,8 @@
       Ended = Refused ? std::move(*Refused) : notRun(ResultCode::CallerLeft);
       break;
     }
-    // This process may have been paused anywhere above, past the deadline.
+    // This process may have been paused anywhere above until after the
+    // deadline.
     bool MayDispatch = Options.Repeat_ || Context.State_.tryDispatch();
     if (Context.expired() || !MayDispatch) {
       Grants.done(Context.Id_, ServedSample());
@@ -287,11 +290,11 @@
 }
 
 void removeHopFields(HttpFields &Fields) {
-  // The connection field names further fields of this one connection.
-  auto Named = Fields.find("connection");
+  // The Connection field lists further hop-by-hop fields.
+  auto Listed = Fields.find("connection");
   std::vector<std::string> Names;
-  if (Named != Fields.end())
-    Names = absl::StrSplit(absl::AsciiStrToLower(Named->second),
+  if (Listed != Fields.end())
+    Names = absl::StrSplit(absl::AsciiStrToLower(Listed->second),
                            absl::ByAnyChar(", "), absl::SkipEmpty());
   for (const std::string &Name : Names)
     Fields.erase(Name);
@@ -302,7 +305,7 @@
 HttpRequest endToEndRequest(const HttpRequest &Request) {
   HttpRequest Forwarded = Request;
   removeHopFields(Forwarded.Fields_);
-  Forwarded.Fields_.erase(std::string(KeyField));
+  Forwarded.Fields_.erase(std::string(CallerKeyField));
   return Forwarded;
 }
 
@@ -330,19 +333,19 @@
 
 namespace {
 
-/// A caller that may come back only once is told a moment at which there is
-/// still time for its request. Callers that are refused together must not come
-/// back together.
+/// Limits Retry-After so that a caller that retries only once still has time
+/// for its request, and adds jitter so that callers that are refused at the
+/// same time don't retry at the same time.
 void shortenRetryAfter(const RequestContext &Context, Verdict &Ended) {
-  constexpr milliseconds Least{50};
+  constexpr milliseconds MinDelay{50};
   constexpr std::uint64_t JitterSteps = 256;
-  auto Longest = std::max(Least, Context.remaining() / RetryPart);
-  auto Wanted = std::clamp(Ended.RetryAfter_, Least, Longest);
+  auto MaxDelay = std::max(MinDelay, Context.remaining() / RetryDelayDivisor);
+  auto Delay = std::clamp(Ended.RetryAfter_, MinDelay, MaxDelay);
   std::uint64_t Step = std::hash<RequestId>()(Context.Id_) % JitterSteps;
-  // Between two thirds of the wait and all of it.
-  auto Jitter = Wanted * static_cast<std::int64_t>(Step) /
-                static_cast<std::int64_t>(RetryPart * JitterSteps);
-  Ended.RetryAfter_ = Wanted - Jitter;
+  // The result is between two thirds of the delay and the whole delay.
+  auto Jitter = Delay * static_cast<std::int64_t>(Step) /
+                static_cast<std::int64_t>(RetryDelayDivisor * JitterSteps);
+  Ended.RetryAfter_ = Delay - Jitter;
 }
 
 } // namespace
--- a/Source/Request/RequestContext.h
+++ b/Source/Request/RequestContext.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// What lives as long as one request, and the services that it uses.
+/// State with the lifetime of one request, and the services that it uses.
 
 #include "Connection/BackendConnections.h"
 #include "Process/Configuration/FreshnessLease.h"
@@ -18,7 +18,7 @@
 
 namespace samphireshunt {
 
-/// What happened to a request, for metrics.
+/// The result of a request, for metrics.
 struct RequestReport {
   std::string Service_;
   std::string Tier_;
@@ -26,7 +26,7 @@
   ResultCode Code_;
   std::chrono::microseconds Total_{0};
   std::chrono::microseconds Waited_{0};
-  /// Of a stream.
+  /// Delay of a stream's first event; unset for plain answers.
   std::optional<std::chrono::milliseconds> FirstEvent_;
   std::chrono::milliseconds LongestPause_{0};
 };
@@ -43,28 +43,30 @@
   std::function<bool(const VmId &, Incarnation)> IsProcessAlive_;
   std::function<void(const RequestReport &)> Report_;
   TraceSink Traces_;
-  // For forwarded requests.
+  // Used for forwarded requests only.
   const ForwardingDialect &Dialect_;
   const FreshnessLease &Freshness_;
   RepeatBudget &Repeats_;
-  /// False for a request that a stop of this daemon would cut.
+  /// \returns false for a request that the shutdown of this daemon would
+  /// interrupt.
   std::function<bool(const ForwardingRule &)> HasTimeFor_;
-  /// Daemons that are alive, this one included.
+  /// \returns the number of live daemons, this one included.
   std::function<std::size_t()> FleetSize_;
 };
 
-/// How a stream of events came: what its caller saw of the engine's pace.
+/// Timing of a stream's events as its caller sees them.
 struct StreamPace {
-  std::optional<std::chrono::milliseconds> FirstEvent_; ///< From the start.
+  std::optional<std::chrono::milliseconds> FirstEvent_; ///< Since the start.
   std::chrono::milliseconds LongestPause_{0};
   std::size_t Events_ = 0;
   TimePoint Last_;
 
+  /// Records an event at \p Now of a request that started at \p Started.
   void event(TimePoint Started, TimePoint Now);
 };
 
-/// One request from its head to its last byte. Used by one coroutine on one
-/// worker; only State_ may be touched by others.
+/// One request, from the parsed head to the last byte of the answer. Used by
+/// one coroutine on one worker; only State_ may be accessed by other threads.
 struct RequestContext {
   RequestServices &Services_;
   HttpExchange &Exchange_;
@@ -80,70 +82,76 @@
   Tokens PromptTokens_;
   Tokens AnswerTokens_;
   std::vector<std::uint64_t> Prefix_;
-  /// Of a forwarded request.
+  /// Metadata of a forwarded request.
   CallLabels Call_;
-  /// How long ago its caller first tried, here or elsewhere; 0: just now.
+  /// Time since the caller's first attempt, at this daemon or another one; 0
+  /// when this is the first attempt.
   std::chrono::milliseconds SinceFirstAttempt_{0};
   std::string KeyDigest_;
   RequestState State_;
   Trace Trace_;
   std::chrono::microseconds Waited_{0};
   StreamPace Pace_;
-  /// Servers that it was dispatched to, in their order.
+  /// Servers that the request was dispatched to, in order.
   std::vector<ServerName> Servers_;
 
-  /// Time until the deadline, at least a millisecond.
+  /// \returns the time until the deadline, at least one millisecond.
   std::chrono::milliseconds remaining() const;
   bool expired() const;
   const Document &document() const { return *Service_->Document_; }
 };
 
-/// A server that was granted, with a connection that is ready for the request.
+/// A granted server with a connection that is ready to send the request.
 struct ReadyServer {
   BackendServer Server_;
   std::unique_ptr<HttpConnection> Connection_;
 };
 
-/// Called between grant and connection; a failed verdict ends the request.
+/// Called between grant and connection. A returned verdict ends the request.
 using BeforeConnect = std::function<Awaitable<std::optional<Verdict>>()>;
 
-/// How to look for a server.
+/// Options for obtainServer().
 struct SeekOptions {
-  /// Only a connection that answered this recently is used again; 0: none.
+  /// An idle connection is reused only if its last answer is no older than
+  /// this; 0 disables reuse.
   std::chrono::milliseconds MaxIdle_{0};
   BeforeConnect Prepare_;
-  /// A verdict ends the request just before its first byte would leave.
+  /// Called just before the first byte is sent. A returned verdict ends the
+  /// request.
   std::function<std::optional<Verdict>()> BeforeDispatch_;
   std::vector<ServerName> Excluded_;
-  /// The request was dispatched before, and may be again.
+  /// The request was dispatched before and may be dispatched again.
   bool Repeat_ = false;
 };
 
-/// Gets a grant and a connection; tries further servers while no byte has
-/// left. On return the request is dispatched or given up, and the caller has
-/// been asked for at most one grant at a time.
+/// Obtains a grant and a connection. Tries further servers as long as no byte
+/// was sent. On return the request is either dispatched or given up; at no time
+/// is more than one grant requested for it.
 Awaitable<std::variant<ReadyServer, Verdict>>
 obtainServer(RequestContext &Context, SeekOptions Options);
 
-/// Removes the fields that concern one connection only, and the length, which
-/// is set anew.
+/// Removes hop-by-hop fields, and Content-Length, which is computed again when
+/// the message is sent.
 void removeHopFields(HttpFields &Fields);
-/// A request without the fields that concern one connection or this program.
+/// \returns a copy of \p Request without hop-by-hop fields and without the
+/// caller's key.
 HttpRequest endToEndRequest(const HttpRequest &Request);
-/// \returns a verdict when the newest configuration no longer allows the
-/// caller's key, or when this daemon can't tell whether it is the newest.
+/// Checks the caller's key again. \returns a verdict when the newest
+/// configuration no longer has the key, or when the daemon's configuration may
+/// be out of date.
 std::optional<Verdict> checkCallerStillAllowed(const RequestContext &Context);
 
-/// The request as it goes to the backend server: end-to-end fields only.
+/// \returns the request for the backend server: the end-to-end fields, and the
+/// request's id, customer and trace.
 HttpRequest backendRequest(RequestContext &Context, std::size_t SpanNumber);
 
 /// Serves a request of a model pool.
 Awaitable<void> runModelCall(RequestContext &Context);
 /// Serves a request of an application pool.
 Awaitable<void> runApplicationCall(RequestContext &Context);
-/// Writes the verdict as the final answer and reports it.
+/// Sends the verdict as the final answer and reports the request's end.
 Awaitable<void> answerVerdict(RequestContext &Context, Verdict Ended);
-/// Reports the end of a request to metrics and traces.
+/// Reports the end of a request to the log, metrics and traces.
 void reportEnd(RequestContext &Context, Outcome Value, ResultCode Code);
 
 } // namespace samphireshunt
--- a/Source/Request/RequestState.h
+++ b/Source/Request/RequestState.h
@@ -1,19 +1,19 @@
 #pragma once
 /// \file
-/// The one decision of a request's life: dispatched, or given up.
+/// The atomic decision whether a request is dispatched or given up.
 
 #include <atomic>
 
 namespace samphireshunt {
 
-/// A deadline and a grant may come in the same instant, on two threads. If
-/// both took effect, a caller would be told "not run" of a request that runs.
-/// One atomic transition out of Waiting lets exactly one of them win.
+/// A deadline and a grant may occur at the same time on two threads. If both
+/// took effect, the caller would get outcome "not-run" for a request that runs.
+/// A single atomic transition out of Waiting ensures that only one succeeds.
 class RequestState {
 public:
-  /// \returns true for the one call that dispatches.
+  /// \returns true for the single call that may dispatch the request.
   bool tryDispatch() { return leaveWaiting(State::Dispatched); }
-  /// \returns true for the one call that gives the request up.
+  /// \returns true for the single call that gives the request up.
   bool tryGiveUp() { return leaveWaiting(State::GivenUp); }
   bool dispatched() const { return State_.load() == State::Dispatched; }
 
--- a/Source/Request/Trace.h
+++ b/Source/Request/Trace.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// The spans of one request, by W3C Trace Context: a span for each hop.
+/// The spans of one request, one for each hop, propagated by W3C Trace Context.
 
 #include <chrono>
 #include <functional>
@@ -20,31 +20,32 @@
   std::vector<std::pair<std::string, std::string>> Attributes_;
 };
 
-/// A finished trace's part of this daemon.
+/// The spans that this daemon contributes to a trace.
 struct TraceRecord {
   std::string TraceId_; ///< 32 hexadecimal digits.
   std::vector<Span> Spans_;
 };
 
-/// Takes finished traces; must not wait.
+/// Receives finished traces; must not block.
 using TraceSink = std::function<void(TraceRecord)>;
 
 class Trace {
 public:
-  /// Goes on with the caller's trace when \p Traceparent is valid, and starts
-  /// a new one otherwise. \p Seed makes ids differ between requests.
+  /// Continues the caller's trace if \p Traceparent is valid and starts a new
+  /// one otherwise. \p Seed makes ids differ between requests.
   Trace(std::string_view Traceparent, std::uint64_t Seed);
 
-  /// Starts a span below the request's own one. \returns its number.
+  /// Starts a child of the request's root span. \returns its number.
   std::size_t begin(std::string Name);
   void end(std::size_t Number);
   void attribute(std::size_t Number, std::string Name, std::string Value);
-  /// The field for the next hop, below span \p Number.
+  /// \returns the traceparent field for the next hop, as a child of span
+  /// \p Number.
   std::string traceparent(std::size_t Number) const;
-  /// Ends every open span and gives the record away.
+  /// Ends every open span and moves the record out.
   TraceRecord finish();
 
-  /// The number of the request's own span.
+  /// The number of the request's root span.
   static constexpr std::size_t Root = 0;
 
 private:
--- a/Source/Request/WaitPlan.h
+++ b/Source/Request/WaitPlan.h
@@ -1,14 +1,14 @@
 #pragma once
 /// \file
-/// How long a forwarded request may wait for a server, and by when its answer
-/// is wanted. Pure: the time is an argument.
+/// How long a forwarded request may wait for a server, and the time of its
+/// objective. The current time is always an argument.
 ///
-/// Load pattern: bursts of a few seconds far above the capacity. Held for as
-/// long as their callers stay, nearly all requests of a burst are answered late
-/// or given up after all; refused on arrival, with a time to come back, callers
-/// return when the burst is over. So a first attempt waits only while it can
-/// still be answered within its objective. One that comes back has missed that
-/// already: it may wait for as long as its caller stays.
+/// Load can exceed the capacity several times for a few seconds. If requests of
+/// such a burst were queued for as long as their callers stay connected, nearly
+/// all of them would miss their objective or be given up. Refused early, with a
+/// Retry-After, callers retry after the burst. A first attempt therefore waits
+/// only while it can still meet its objective. A retry has missed it already
+/// and may wait for as long as its caller stays connected.
 
 #include "Common/TimePoint.h"
 #include "Version/Document.h"
@@ -18,11 +18,12 @@
 
 namespace samphireshunt {
 
-/// Tells requests that come back by the time limit that they state: callers
-/// state the same limit each time at first, and later what is left of it.
+/// Detects retries by the timeout that a request states: callers state the same
+/// timeout in each first attempt, and the remaining time in a retry.
 class UsualTimeouts {
 public:
-  /// \returns how long ago the caller's first attempt was, 0 for a first one.
+  /// \returns the time since the caller's first attempt; 0 if this is the first
+  /// attempt.
   std::chrono::milliseconds sinceFirstAttempt(const std::string &Route,
                                               std::chrono::milliseconds Stated,
                                               TimePoint Now);
@@ -37,24 +38,25 @@
 };
 
 struct WaitPlan {
+  /// When the answer, or its first event, is due.
   TimePoint Objective_;
   std::chrono::milliseconds MaxWait_{0};
 };
 
-/// When a request came, until when its caller waits, and how long ago its
-/// first attempt was.
+/// A request's arrival, its deadline and the time since its first attempt.
 struct RequestTimes {
   TimePoint Started_;
   TimePoint Deadline_;
   std::chrono::milliseconds SinceFirstAttempt_{0};
 };
 
-/// The plan for a request that asks for a server \p Now, maybe not for the
-/// first time.
+/// \returns the plan for a grant request at \p Now, which need not be the first
+/// one of its request.
 WaitPlan planWait(const ForwardingRule &Rule, const RequestTimes &Times,
                   TimePoint Now);
 
-/// How long a caller stays with a stream that gives no event.
+/// \returns how long a caller waits for the next event of a stream before it
+/// gives the stream up.
 std::chrono::milliseconds callerPatience(const ForwardingRule &Rule);
 
 } // namespace samphireshunt
--- a/Tools/mutations.sh
+++ b/Tools/mutations.sh
@@ -62,10 +62,10 @@
   's/(void GrantClient::onLinkDown.*?)  rebind\(\);\n  scheduleRebind[^\n]*\n/$1/s; s/(void GrantClient::rebind\(\) \{\n)/$1  return;\n/' \
   ${F}DispatchOnceTest '*keeper that dies*'
 mutate prove-not-run $S/Request/ModelCall.cpp \
-  's/bool NeverSeen = [^;]*;/bool NeverSeen = false;/' \
+  's/bool NeverReceived = [^;]*;/bool NeverReceived = false;/' \
   ${F}DispatchOnceTest '*silent connection*'
 mutate close-abandoned $S/Request/ApplicationCall.cpp \
-  's/(on a connection of its own it meets nobody\.\n)\s*Ready_\.Connection_->close\(\);/$1    Context_.Services_.Connections_.giveBack(Ready_.Server_.Address_, std::move(Ready_.Connection_));/' \
+  's/(so that no other request receives it\.\n)\s*Ready_\.Connection_->close\(\);/$1    Context_.Services_.Connections_.giveBack(Ready_.Server_.Address_, std::move(Ready_.Connection_));/' \
   ${F}OwnAnswerTest '*after the deadline*' $S/Connection/BackendConnections.cpp \
   's/Connection->lastHeard\(\) >= OldestProof && Connection->quiet\(\)/true/; s/!Connection->reusable\(\) \|\|//'
 mutate whole-body $S/Connection/HttpConnection.cpp \
@@ -75,7 +75,7 @@
   's/(Awaitable<std::optional<Verdict>> resume\(\) \{\n)/$1    IdleResumes_ = MaxIdleResumes; co_return std::nullopt;\n/' \
   ${F}OwnAnswerTest '*goes silent is resumed*'
 mutate broken-end $S/Request/ModelCall.cpp \
-  's/if \(!Begun_\)\s*co_return co_await answerVerdict/co_return co_await answerWhole();\n    if (!Begun_)\n      co_return co_await answerVerdict/' \
+  's/if \(!HeadSent_\)\s*co_return co_await answerVerdict/co_return co_await answerComplete();\n    if (!HeadSent_)\n      co_return co_await answerVerdict/' \
   ${F}OwnAnswerTest '*resumed does not look whole*'
 mutate event-owner $S/Request/ModelCall.cpp \
   's/if \(Colon == std::string::npos \|\|\s*Event.Id_.substr\(0, Colon\) != Id.str\(\)\)/(void)Id;\n  if (Colon == std::string::npos)/' \
@@ -84,19 +84,19 @@
   's/(Awaitable<std::optional<Verdict>> claimKey\(\) \{\n)/$1    co_return std::nullopt;\n/' \
   ${F}NonIdempotentTest '*all daemons at once*'
 mutate claim-read-back $S/Request/ClaimStore.cpp \
-  's/(Reason = Written.error\(\).Detail_;\n)/$1    break;\n/' \
+  's/(LastError = Written.error\(\).Detail_;\n)/$1    break;\n/' \
   ${F}NonIdempotentTest '*answer was lost is read back*'
 mutate no-claim-no-dispatch $S/Request/ApplicationCall.cpp \
-  's/if \(!Standing\) \{/if (!Standing) co_return std::nullopt;\n    if (!Standing) {/; s/if \(!Found\) \{/if (!Found) co_return false;\n    if (!Found) {/' \
+  's/if \(!Existing\) \{/if (!Existing) co_return std::nullopt;\n    if (!Existing) {/; s/if \(!Found\) \{/if (!Found) co_return false;\n    if (!Found) {/' \
   ${F}NonIdempotentTest '*Without the platform*,*without the platform*'
 mutate claim-release $S/Request/ApplicationCall.cpp \
   's/(Awaitable<void> releaseInBackground\(\) \{\n)/$1    co_return;\n/' \
   ${F}NonIdempotentTest '*is released*'
 mutate claimer-alive $S/Request/ApplicationCall.cpp \
-  's/Context_\.Services_\.IsProcessAlive_\(\s*Standing\.Vm_,\s*Standing\.Incarnation_\)/true/' \
+  's/Context_\.Services_\.IsProcessAlive_\(\s*Existing\.Vm_,\s*Existing\.Incarnation_\)/true/' \
   ${F}NonIdempotentTest "*first entry's death*"
 mutate key-digest $S/Request/ApplicationCall.cpp \
-  's/Standing\.BodyDigest_ != bodyDigest\(\)/false/' \
+  's/Existing\.BodyDigest_ != bodyDigest\(\)/false/' \
   ${F}NonIdempotentTest '*another body*'
 mutate refusal-declared $S/Request/ModelCall.cpp \
   's/Ready_\.Server_\.RefusesBeforeRunning_ &&/true \&\&/' \
@@ -227,7 +227,7 @@
   's/~ClosedAtEnd\(\) \{ Stream_\.close\(\); \}/~ClosedAtEnd() {}/' \
   ${U}Connection "*looks out for its caller's end closes*"
 mutate levels-of-body $S/Request/CallerService.cpp \
-  's/TooDeep \|= Level > MostLevels;/TooDeep |= Level > 1000 * MostLevels * 1000;/' \
+  's/TooDeep \|= Level > MaxNestingDepth;/TooDeep |= Level > 1000 * MaxNestingDepth * 1000;/' \
   ${U}Request '*nests deeply is refused*'
 mutate small-confirmation $S/Process/Configuration/StoreFollower.cpp \
   's/std::string Prefix = ownKey\(\);/std::string Prefix = View_.layout().ConfigurationKey_;/' \
