--- a/UnitTests/Version/DocumentReaderTest.cpp
+++ b/UnitTests/Version/DocumentReaderTest.cpp
@@ -38,14 +38,14 @@
 }
 
 bool has(const std::vector<Finding> &Found, ResultCode Code, int Line) {
-  return std::ranges::any_of(Found, [&](const Finding &One) {
-    return One.Code_ == Code && One.Line_ == Line;
+  return std::ranges::any_of(Found, [&](const Finding &Candidate) {
+    return Candidate.Code_ == Code && Candidate.Line_ == Line;
   });
 }
 
 } // namespace
 
-TEST_CASE("a valid document reads the same from YAML and from its JSON") {
+TEST_CASE("a valid document is read equally from YAML and from its JSON") {
   auto FromYaml = std::get<CheckedDocument>(readYamlDocument(Valid));
   auto FromJson =
       std::get<CheckedDocument>(readJsonDocument(FromYaml.CanonicalJson_));
@@ -58,7 +58,7 @@
   CHECK(Read.route("/v1/chat/completionsandmore") == nullptr);
 }
 
-TEST_CASE("each kind of mistake is found with its line and code") {
+TEST_CASE("each kind of error is found with its line and code") {
   CHECK(has(findings(replaced(Valid, "service:", "servce:")),
             ResultCode::DocumentSchema, 1));
   CHECK(has(findings(replaced(Valid, "defaultTier: crew", "defaultTier: x")),
@@ -78,10 +78,11 @@
           ResultCode::DocumentSchema, 11));
 }
 
-TEST_CASE("all findings come at once, in the order of lines") {
-  std::string Twice = replaced(replaced(Valid, "pool: escriba", "pool: other"),
-                               "defaultTier: crew", "defaultTier: x");
-  auto Found = findings(Twice);
+TEST_CASE("all findings are reported at once, in the order of lines") {
+  std::string TwoErrors =
+      replaced(replaced(Valid, "pool: escriba", "pool: other"),
+               "defaultTier: crew", "defaultTier: x");
+  auto Found = findings(TwoErrors);
   REQUIRE(Found.size() == 2);
   CHECK(Found[0].Line_ == 7);
   CHECK(Found[1].Line_ == 15);
--- a/UnitTests/Version/DocumentStoreTest.cpp
+++ b/UnitTests/Version/DocumentStoreTest.cpp
@@ -27,14 +27,14 @@
 
 } // namespace
 
-TEST_CASE("whatever order versions come in, the highest stays in force") {
+TEST_CASE("in whatever order versions come, the highest stays active") {
   bool Holds = rc::check([](const std::vector<std::uint8_t> &Numbers) {
     DocumentStore Store;
     std::uint64_t Highest = 0;
     for (std::uint8_t Number : Numbers) {
       std::uint64_t Version = Number + 1U; // Versions start at 1.
-      bool News = Version > Highest;
-      RC_ASSERT(Store.adopt(Service, versioned(Version)) == News);
+      bool IsNewer = Version > Highest;
+      RC_ASSERT(Store.adopt(Service, versioned(Version)) == IsNewer);
       Highest = std::max<std::uint64_t>(Highest, Version);
       if (Highest > 0)
         RC_ASSERT(Store.snapshot()->service(Service)->Version_.count() ==
@@ -44,13 +44,13 @@
   CHECK(Holds);
 }
 
-TEST_CASE("a snapshot does not change under a request that holds it") {
+TEST_CASE("a snapshot does not change while a request uses it") {
   DocumentStore Store;
   Store.adopt(Service, versioned(1));
-  auto Held = Store.snapshot();
+  auto Old = Store.snapshot();
   Store.adopt(Service, versioned(2));
-  CHECK(Held->service(Service)->Version_.count() == 1);
-  CHECK(Held->service(Service)->Document_->Tiers_.front() == "t1");
+  CHECK(Old->service(Service)->Version_.count() == 1);
+  CHECK(Old->service(Service)->Document_->Tiers_.front() == "t1");
   CHECK(Store.snapshot()->service(Service)->Version_.count() == 2);
 }
 
@@ -78,27 +78,27 @@
 
 } // namespace
 
-TEST_CASE("a change of servers copies nothing that the operator wrote") {
-  // While engines are replaced the directory changes twice a second. Each time
-  // all routes were copied, and those of earlier snapshots freed when their
-  // last request ended: with 14,000 routes 14,483 allocations of 4 MB in all,
-  // on the thread that serves requests.
+TEST_CASE("a change of servers does not copy the operator's document") {
+  // Guards against copies of all routes when only servers change. While engines
+  // are replaced, the directory changes twice a second. Copying 14,000 routes
+  // took 14,483 allocations of 4 MB in total on the thread that serves
+  // requests, and each copy was freed there when its last request ended.
   DocumentStore Store;
-  auto Written = withDirectoryPool();
+  auto Original = withDirectoryPool();
   Store.setServers(Service, oneServer("first"));
-  REQUIRE(Store.adopt(Service, DocumentVersion(1), Written));
-  auto Held = Store.snapshot();
+  REQUIRE(Store.adopt(Service, DocumentVersion(1), Original));
+  auto Old = Store.snapshot();
   Store.setServers(Service, oneServer("second"));
   auto Newest = Store.snapshot();
-  CHECK(Held->service(Service)->Document_ == Written);
-  CHECK(Newest->service(Service)->Document_ == Written);
-  CHECK(Held->activeServer(Service, ThePool, ServerName("first")));
-  CHECK_FALSE(Held->activeServer(Service, ThePool, ServerName("second")));
+  CHECK(Old->service(Service)->Document_ == Original);
+  CHECK(Newest->service(Service)->Document_ == Original);
+  CHECK(Old->activeServer(Service, ThePool, ServerName("first")));
+  CHECK_FALSE(Old->activeServer(Service, ThePool, ServerName("second")));
   CHECK_FALSE(Newest->activeServer(Service, ThePool, ServerName("first")));
   CHECK(Newest->activeServer(Service, ThePool, ServerName("second")));
 }
 
-TEST_CASE("a version that is adopted has the servers that are known already") {
+TEST_CASE("an adopted version has the servers that are already known") {
   DocumentStore Store;
   Store.setServers(Service, oneServer("first"));
   REQUIRE(Store.adopt(Service, DocumentVersion(1), withDirectoryPool()));
@@ -108,7 +108,8 @@
   CHECK(Store.snapshot()->service(Service)->pool(ThePool)->Servers_.empty());
 }
 
-TEST_CASE("readers on many threads see whole snapshots, in rising order") {
+TEST_CASE(
+    "readers on many threads see consistent snapshots of rising versions") {
   DocumentStore Store;
   Store.adopt(Service, versioned(1));
   std::atomic<bool> Stop = false;
@@ -117,11 +118,11 @@
     std::uint64_t Last = 0;
     while (!Stop) {
       auto Snapshot = Store.snapshot();
-      const ServiceConfiguration *InForce = Snapshot->service(Service);
-      std::uint64_t Version = InForce->Version_.count();
-      bool Whole =
-          InForce->Document_->Tiers_.front() == fmt::format("t{}", Version);
-      Faults += !Whole || Version < Last;
+      const ServiceConfiguration *Active = Snapshot->service(Service);
+      std::uint64_t Version = Active->Version_.count();
+      bool Consistent =
+          Active->Document_->Tiers_.front() == fmt::format("t{}", Version);
+      Faults += !Consistent || Version < Last;
       Last = Version;
     }
   };
--- a/UnitTests/Version/DocumentTest.cpp
+++ b/UnitTests/Version/DocumentTest.cpp
@@ -21,18 +21,18 @@
   return Built;
 }
 
-/// The rule in its plainest form: a look at every route.
-const Route *routeByScan(const Document &Whole, std::string_view Path,
+/// Reference implementation of the route lookup: a linear scan of all routes.
+const Route *routeByScan(const Document &Routed, std::string_view Path,
                          std::string_view Host) {
   const Route *Best = nullptr;
-  for (const auto &Candidate : Whole.Routes_) {
+  for (const auto &Candidate : Routed.Routes_) {
     const std::string &Prefix = Candidate->PathPrefix_;
-    bool OfHost = Candidate->Host_.empty() || Candidate->Host_ == Host;
-    if (!OfHost || !Path.starts_with(Prefix))
+    bool ForHost = Candidate->Host_.empty() || Candidate->Host_ == Host;
+    if (!ForHost || !Path.starts_with(Prefix))
       continue;
-    bool AtName = Prefix.ends_with('/') || Path.size() == Prefix.size() ||
-                  Path[Prefix.size()] == '/';
-    if (!AtName)
+    bool AtSegmentEnd = Prefix.ends_with('/') || Path.size() == Prefix.size() ||
+                        Path[Prefix.size()] == '/';
+    if (!AtSegmentEnd)
       continue;
     if (!Best || Prefix.size() > Best->PathPrefix_.size())
       Best = Candidate.get();
@@ -40,7 +40,7 @@
   return Best;
 }
 
-/// Short paths of few names, so that many are prefixes of others.
+/// Generates short paths from few names, so that many are prefixes of others.
 rc::Gen<std::string> anyPath() {
   auto Names = rc::gen::element<std::string>("", "/", "a", "/a", "b/", "//");
   return rc::gen::map(rc::gen::container<std::vector<std::string>>(Names),
@@ -54,28 +54,30 @@
 
 } // namespace
 
-TEST_CASE("the route is the one that a look at every route finds") {
+TEST_CASE("the route lookup finds the same route as a linear scan") {
   bool Holds = rc::check([] {
     auto Host = rc::gen::element<std::string>("", "h", "g");
     auto Pairs =
         *rc::gen::container<std::vector<std::pair<std::string, std::string>>>(
             rc::gen::pair(Host, anyPath()));
     std::vector<std::shared_ptr<const Route>> Routes;
-    for (auto &[Of, Prefix] : Pairs)
-      Routes.push_back(routeTo(Of, Prefix));
-    Document Whole = withRoutes(std::move(Routes));
+    for (auto &[RouteHost, Prefix] : Pairs)
+      Routes.push_back(routeTo(RouteHost, Prefix));
+    Document Routed = withRoutes(std::move(Routes));
     std::string Path = *anyPath();
-    std::string Asked = *Host;
-    RC_ASSERT(Whole.route(Path, Asked) == routeByScan(Whole, Path, Asked));
+    std::string RequestHost = *Host;
+    RC_ASSERT(Routed.route(Path, RequestHost) ==
+              routeByScan(Routed, Path, RequestHost));
   });
   CHECK(Holds);
 }
 
-TEST_CASE("a port does not change the host, and a name is never cut") {
-  Document Whole = withRoutes({routeTo("h", "/readings"), routeTo("", "/")});
-  CHECK(Whole.route("/readings/1", "h:80")->PathPrefix_ == "/readings");
-  CHECK(Whole.route("/readings", "h")->PathPrefix_ == "/readings");
-  CHECK(Whole.route("/readingsarchive", "h")->PathPrefix_ == "/");
-  CHECK(Whole.route("/readings", "g")->PathPrefix_ == "/");
-  CHECK(Whole.route("*", "h") == nullptr);
+TEST_CASE(
+    "a port does not change the host, and prefixes match whole segments") {
+  Document Routed = withRoutes({routeTo("h", "/readings"), routeTo("", "/")});
+  CHECK(Routed.route("/readings/1", "h:80")->PathPrefix_ == "/readings");
+  CHECK(Routed.route("/readings", "h")->PathPrefix_ == "/readings");
+  CHECK(Routed.route("/readingsarchive", "h")->PathPrefix_ == "/");
+  CHECK(Routed.route("/readings", "g")->PathPrefix_ == "/");
+  CHECK(Routed.route("*", "h") == nullptr);
 }
--- a/UnitTests/Version/RcuCellTest.cpp
+++ b/UnitTests/Version/RcuCellTest.cpp
@@ -10,9 +10,10 @@
 
 using namespace samphireshunt;
 
-TEST_CASE("readers keep what they read while it is replaced") {
-  // A value that is freed while a reader copies it, or read before it is whole,
-  // shows as another text than was ever written; the sanitizers see either.
+TEST_CASE("readers keep their value while it is replaced") {
+  // A value that is freed while a reader copies it, or read before it is
+  // complete, shows as a text that was never written. The sanitizers detect
+  // both faults.
   constexpr int Readers = 4;
   constexpr int Writes = 200;
   using Text = std::string;
@@ -26,9 +27,9 @@
   auto Read = [&] {
     while (!Written) {
       auto Seen = Cell.read();
-      bool Whole =
+      bool Consistent =
           Seen->size() == 64 && std::ranges::count(*Seen, Seen->front()) == 64;
-      Torn += Whole ? 0 : 1;
+      Torn += Consistent ? 0 : 1;
     }
   };
   std::vector<std::jthread> Threads;
