--- a/UnitTests/Request/ClaimStoreTest.cpp
+++ b/UnitTests/Request/ClaimStoreTest.cpp
@@ -13,10 +13,12 @@
 
 namespace {
 
-/// What happens to one call of the key-value service.
-enum class Fate { Fine, LostBefore, LostAfter };
+/// The result of one call of the key-value service: it succeeds, or it fails
+/// before or after it took effect.
+enum class CallResult { Success, LostBefore, LostAfter };
 
-/// A key-value service in memory; each write meets the next fate.
+/// A key-value service in memory. Each call takes the next result from a queue
+/// of scripted results; an empty queue means success.
 class FakePlatform {
 public:
   PlatformHooks hooks() {
@@ -30,20 +32,20 @@
   }
 
   std::map<std::string, KeyValue> Entries_;
-  std::deque<Fate> WriteFates_;
-  std::deque<Fate> ReadFates_;
+  std::deque<CallResult> WriteResults_;
+  std::deque<CallResult> ReadResults_;
 
 private:
-  static Fate take(std::deque<Fate> &Fates) {
-    if (Fates.empty())
-      return Fate::Fine;
-    Fate Next = Fates.front();
-    Fates.pop_front();
+  static CallResult take(std::deque<CallResult> &Results) {
+    if (Results.empty())
+      return CallResult::Success;
+    CallResult Next = Results.front();
+    Results.pop_front();
     return Next;
   }
 
   Awaitable<Result<std::optional<KeyValue>>> get(std::string Key) {
-    if (take(ReadFates_) != Fate::Fine)
+    if (take(ReadResults_) != CallResult::Success)
       co_return Failure{ResultCode::PlatformUnavailable, ""};
     auto Found = Entries_.find(Key);
     co_return Found == Entries_.end() ? std::optional<KeyValue>()
@@ -51,17 +53,17 @@
   }
 
   Awaitable<Result<StorePosition>> put(KeyValueWrite Write) {
-    Fate Next = take(WriteFates_);
-    if (Next == Fate::LostBefore)
+    CallResult Next = take(WriteResults_);
+    if (Next == CallResult::LostBefore)
       co_return Failure{ResultCode::PlatformUnavailable, ""};
     auto Found = Entries_.find(Write.Key_);
     StorePosition Present =
         Found == Entries_.end() ? StorePosition() : Found->second.Position_;
     if (Present != Write.Expected_)
       co_return Failure{ResultCode::VersionConflict, ""};
-    StorePosition Written{StoreEra(), Revision(++Last_)};
+    StorePosition Written{StoreEra(), Revision(++LastRevision_)};
     Entries_[Write.Key_] = {Write.Key_, Write.Value_, Written};
-    if (Next == Fate::LostAfter)
+    if (Next == CallResult::LostAfter)
       co_return Failure{ResultCode::PlatformUnavailable, ""};
     co_return Written;
   }
@@ -71,10 +73,10 @@
     co_return Result<void>();
   }
 
-  std::uint64_t Last_ = 0;
+  std::uint64_t LastRevision_ = 0;
 };
 
-ClaimStore::Options quick() {
+ClaimStore::Options optionsWithoutDelays() {
   ClaimStore::Options Options;
   Options.RetryDelay_ = std::chrono::milliseconds(0);
   Options.FinishDelay_ = std::chrono::milliseconds(0);
@@ -104,66 +106,69 @@
 } // namespace
 
 TEST_CASE("however calls get lost, one attempt at the most holds a key") {
-  // Symptom: two attempts of one key are both dispatched.
-  // Sequence: attempts claim in turn while answers, or calls, get lost.
-  // Cause: a lost answer was taken for a refusal, or for a success.
+  // Guards against two attempts of one key that are both dispatched. Attempts
+  // claim the key one after the other while calls or answers get lost, and a
+  // lost answer could be taken for a refusal or for a success.
   bool Holds = rc::check([] {
     FakePlatform Platform;
-    auto Fates = rc::gen::container<std::deque<Fate>>(
-        rc::gen::element(Fate::Fine, Fate::LostBefore, Fate::LostAfter));
-    Platform.WriteFates_ = *Fates;
-    Platform.ReadFates_ = *Fates;
-    ClaimStore Store(Platform.hooks(), quick());
-    int Holders = 0;
-    std::string Holder;
+    auto Results = rc::gen::container<std::deque<CallResult>>(rc::gen::element(
+        CallResult::Success, CallResult::LostBefore, CallResult::LostAfter));
+    Platform.WriteResults_ = *Results;
+    Platform.ReadResults_ = *Results;
+    ClaimStore Store(Platform.hooks(), optionsWithoutDelays());
+    int Owners = 0;
+    std::string Owner;
     for (const char *Name : {"first", "second", "third"}) {
-      auto Standing =
+      auto Stored =
           runCoroutine([&] { return Store.claim(Key, attempt(Name)); });
-      if (Standing && Standing->Attempt_ == Name) {
-        ++Holders;
-        Holder = Name;
+      if (Stored && Stored->Attempt_ == Name) {
+        ++Owners;
+        Owner = Name;
       }
     }
-    RC_ASSERT(Holders <= 1);
-    if (Holders == 1)
-      RC_ASSERT(Platform.Entries_.begin()->second.Value_.find(Holder) !=
+    RC_ASSERT(Owners <= 1);
+    if (Owners == 1)
+      RC_ASSERT(Platform.Entries_.begin()->second.Value_.find(Owner) !=
                 std::string::npos);
   });
   CHECK(Holds);
 }
 
-TEST_CASE("a claim whose answer was lost is the claimer's") {
+TEST_CASE("a claim whose answer was lost belongs to its attempt") {
   FakePlatform Platform;
-  Platform.WriteFates_ = {Fate::LostAfter};
-  ClaimStore Store(Platform.hooks(), quick());
-  auto Standing =
+  Platform.WriteResults_ = {CallResult::LostAfter};
+  ClaimStore Store(Platform.hooks(), optionsWithoutDelays());
+  auto Stored =
       runCoroutine([&] { return Store.claim(Key, attempt("first")); });
-  REQUIRE(Standing.has_value());
-  CHECK(Standing->Attempt_ == "first");
+  REQUIRE(Stored.has_value());
+  CHECK(Stored->Attempt_ == "first");
 }
 
-TEST_CASE("what can't be read back is no claim") {
+TEST_CASE("a claim that can't be read back fails") {
   FakePlatform Platform;
-  Platform.WriteFates_ = {Fate::LostAfter, Fate::LostBefore, Fate::LostBefore};
-  Platform.ReadFates_ = {Fate::LostBefore, Fate::LostBefore, Fate::LostBefore};
-  ClaimStore Store(Platform.hooks(), quick());
-  auto Standing =
+  Platform.WriteResults_ = {CallResult::LostAfter, CallResult::LostBefore,
+                            CallResult::LostBefore};
+  Platform.ReadResults_ = {CallResult::LostBefore, CallResult::LostBefore,
+                           CallResult::LostBefore};
+  ClaimStore Store(Platform.hooks(), optionsWithoutDelays());
+  auto Stored =
       runCoroutine([&] { return Store.claim(Key, attempt("first")); });
-  REQUIRE_FALSE(Standing.has_value());
-  CHECK(Standing.error().Code_ == ResultCode::ClaimFailed);
+  REQUIRE_FALSE(Stored.has_value());
+  CHECK(Stored.error().Code_ == ResultCode::ClaimFailed);
 }
 
-TEST_CASE("a stored answer comes back as it was, bytes that are no text too") {
+TEST_CASE("a stored answer is returned unchanged, including bytes that are not "
+          "text") {
   FakePlatform Platform;
-  ClaimStore Store(Platform.hooks(), quick());
-  Claim Held =
+  ClaimStore Store(Platform.hooks(), optionsWithoutDelays());
+  Claim Ended =
       *runCoroutine([&] { return Store.claim(Key, attempt("first")); });
-  Held.State_ = ClaimState::Answered;
-  Held.Answer_.Status_ = 201;
-  Held.Answer_.Body_ = std::string("\x00\xff\x80text", 7);
+  Ended.State_ = ClaimState::Answered;
+  Ended.Answer_.Status_ = 201;
+  Ended.Answer_.Body_ = std::string("\x00\xff\x80text", 7);
   boost::asio::io_context Context;
   boost::asio::co_spawn(
-      Context, [&] { return Store.finish(Key, Held); },
+      Context, [&] { return Store.finish(Key, Ended); },
       [](std::exception_ptr) {});
   Context.run();
   auto Found = runCoroutine([&] { return Store.find(Key); });
@@ -171,5 +176,5 @@
   REQUIRE(Found->has_value());
   CHECK((*Found)->State_ == ClaimState::Answered);
   CHECK((*Found)->Answer_.Status_ == 201);
-  CHECK((*Found)->Answer_.Body_ == Held.Answer_.Body_);
+  CHECK((*Found)->Answer_.Body_ == Ended.Answer_.Body_);
 }
--- a/UnitTests/Request/FinalAnswerTest.cpp
+++ b/UnitTests/Request/FinalAnswerTest.cpp
@@ -5,11 +5,11 @@
 
 using namespace samphireshunt;
 
-TEST_CASE("every code makes a whole answer with outcome, code and id") {
+TEST_CASE("every code gives a complete answer with outcome, code and id") {
   for (const ResultCodeInfo &Row : resultCodeTable()) {
     Verdict Ended;
     Ended.Code_ = Row.Code_;
-    Ended.Detail_ = "\xff not UTF-8"; // From the caller's own bytes.
+    Ended.Detail_ = "\xff not UTF-8"; // Details may contain a caller's bytes.
     Ended.RetryAfter_ = std::chrono::milliseconds(1200);
     HttpResponse Response = finalResponse({1, 2}, Ended);
     auto Body = nlohmann::json::parse(Response.Body_)["error"];
@@ -17,8 +17,8 @@
     CHECK(Body["outcome"] == "not-run");
     CHECK(Response.Fields_["x-outcome"] == "not-run");
     CHECK(Response.Fields_["x-request-id"] == RequestId{1, 2}.str());
-    bool GivenUp = static_cast<int>(Row.Code_) / 100 == 2;
-    if (GivenUp)
+    bool Retryable = static_cast<int>(Row.Code_) / 100 == 2;
+    if (Retryable)
       CHECK(Response.Fields_["retry-after"] == "2");
     if (Row.Code_ != ResultCode::Ok)
       CHECK(Response.Status_ >= 400);
--- a/UnitTests/Request/ForwardedCallTest.cpp
+++ b/UnitTests/Request/ForwardedCallTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// A forwarded request against servers that answer wrongly, late, twice, too
-/// early or not at all.
+/// Forwarded requests to servers that answer wrongly, late, twice, too early or
+/// not at all.
 
 #include "UnitTests/Request/ForwardingHarness.h"
 
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Answers every request whole, with its own id.
+/// Answers every request completely and with its own id.
 Script answerAll(const std::string &Request, std::size_t) {
   return {wholeAnswer(fieldIn(Request, "x-call-id"), "answer")};
 }
@@ -34,7 +34,8 @@
   return Wanted;
 }
 
-/// The first server that a request reached, when either may be chosen.
+/// Uses \p First for the first request at any of the servers that share
+/// \p Count, and \p Later for all others: any server may be chosen first.
 ScriptOf firstThen(std::shared_ptr<int> Count, Script First, ScriptOf Later) {
   return [=](const std::string &Request, std::size_t Number) {
     return (*Count)++ == 0 ? First : Later(Request, Number);
@@ -43,7 +44,7 @@
 
 } // namespace
 
-TEST_CASE("request and answer go through unchanged, but for one connection's "
+TEST_CASE("request and answer are forwarded unchanged, except for hop-by-hop "
           "fields and the key") {
   ForwardingHarness Path(kind(RequestKind::NonIdempotent), {answerAll});
   auto Saw = Path.call("c1", "the body",
@@ -64,14 +65,13 @@
 }
 
 TEST_CASE("an extra answer never reaches the next request") {
-  // Symptom: a caller gets the answer to another request.
-  // Sequence: a server sends a second answer after a whole one; the connection
-  // is kept; the next request finds that answer waiting.
-  // Cause: the connection was reused with bytes in it.
-  std::string Doubled = wholeAnswer("c1", "one") + wholeAnswer("c1", "one");
+  // Guards against a caller that gets the answer to another request: a server
+  // sends two answers to one request, the connection is reused although it has
+  // unread bytes, and the next request reads the extra answer.
+  std::string TwoAnswers = wholeAnswer("c1", "one") + wholeAnswer("c1", "one");
   ForwardingHarness Path(kind(RequestKind::Idempotent),
                          {[&](const std::string &Request, std::size_t Number) {
-                           return Number == 0 ? Script{Doubled}
+                           return Number == 0 ? Script{TwoAnswers}
                                               : answerAll(Request, Number);
                          }});
   CHECK(Path.call("c1").body() == "one");
@@ -79,46 +79,46 @@
   CHECK(Path.server(0).connections() == 2);
 }
 
-TEST_CASE("an answer with another request's id is no answer, and is not asked "
-          "for again where that may run twice") {
+TEST_CASE("an answer with another request's id is a failure, and a "
+          "non-idempotent request is not retried") {
   ForwardingHarness Path(kind(RequestKind::NonIdempotent),
                          {always({wholeAnswer("other", "x")})});
   CHECK(Path.call("c1").status() == 502);
   CHECK(Path.received() == 1);
 }
 
-TEST_CASE("a success without the server's proof is no success") {
-  std::string Unproved = "HTTP/1.1 200 OK\r\nX-Call-Id: c1\r\n"
-                         "Content-Length: 1\r\n\r\nx";
+TEST_CASE("a success without the server's proof is a failure") {
+  std::string WithoutProof = "HTTP/1.1 200 OK\r\nX-Call-Id: c1\r\n"
+                             "Content-Length: 1\r\n\r\nx";
   ForwardingHarness Path(kind(RequestKind::NonIdempotent),
-                         {always({Unproved})});
+                         {always({WithoutProof})});
   CHECK(Path.call("c1").status() == 502);
 }
 
 TEST_CASE("a truncated answer never looks whole") {
-  // Symptom: a caller takes a part of an answer for the whole.
-  // Sequence: a server closes before its body's length is reached.
-  // Cause: the end of the connection was taken for the end of the body.
-  Script Cut{wholeAnswer("c1", "long enough"), Script::Then::Close};
-  Cut.Bytes_.resize(Cut.Bytes_.size() - 3);
-  SUBCASE("a request that may run twice is sent to another server") {
+  // Guards against a caller that takes the start of an answer for the complete
+  // answer: a server closes before the end of the body, and the end of the
+  // connection is taken for the end of the body.
+  Script Truncated{wholeAnswer("c1", "long enough"), Script::Then::Close};
+  Truncated.Bytes_.resize(Truncated.Bytes_.size() - 3);
+  SUBCASE("a request that may run twice is retried at another server") {
     auto Count = std::make_shared<int>(0);
-    auto Each = firstThen(Count, Cut, answerAll);
+    auto Each = firstThen(Count, Truncated, answerAll);
     ForwardingHarness Path(kind(RequestKind::Idempotent), {Each, Each});
     CHECK(Path.call("c1").body() == "answer");
     CHECK(Path.server(0).requests().size() == 1);
     CHECK(Path.server(1).requests().size() == 1);
   }
-  SUBCASE("any other is told that it may have run") {
+  SUBCASE("any other request fails as one that may have run") {
     ForwardingHarness Path(kind(RequestKind::NonIdempotent),
-                           {always(Cut), always(Cut)});
+                           {always(Truncated), always(Truncated)});
     CHECK(Path.call("c1").status() == 502);
     CHECK(Path.received() == 1);
   }
 }
 
-TEST_CASE("a body without a length is whole when its connection closes, not "
-          "when it is reset") {
+TEST_CASE("a body without a length is complete when its connection closes, "
+          "not when it is reset") {
   std::string Unframed = "HTTP/1.1 200 OK\r\nX-Call-Id: c1\r\n"
                          "X-Answer-Proof: p\r\n\r\nthe whole";
   SUBCASE("closed") {
@@ -135,12 +135,12 @@
   }
 }
 
-TEST_CASE("an answer that comes before the body is read is passed on, and the "
-          "connection not used again") {
-  // Symptom: a server takes a request's bytes for the rest of another's body.
-  // Sequence: it answers early and keeps the connection; the body stays unsent;
-  // the next request follows on the same connection.
-  // Cause: a whole answer was taken as the end of the exchange.
+TEST_CASE("an answer that comes before the body is read is forwarded, and the "
+          "connection is not reused") {
+  // Guards against a server that takes a request's bytes for the rest of
+  // another request's body. It answers early and keeps the connection open
+  // while the body is not fully sent. If the complete answer were taken for the
+  // end of the exchange, the next request would follow on the same connection.
   const std::string Long(8 * 1024 * 1024 - 1, 'b');
   constexpr std::size_t Early = 1000;
   ForwardingHarness Path(
@@ -157,8 +157,8 @@
   CHECK(Path.server(0).connections() == 2);
 }
 
-TEST_CASE("a refusal that says not run is sent elsewhere, also where requests "
-          "must not run twice") {
+TEST_CASE("a request that a server refused without running it is sent "
+          "elsewhere, even if non-idempotent") {
   ForwardingHarness Path(kind(RequestKind::NonIdempotent),
                          {[](const std::string &Request, std::size_t) {
                             return Script{
@@ -171,7 +171,7 @@
   }
 }
 
-TEST_CASE("when every server refuses, the caller is told when to come back") {
+TEST_CASE("when every server refuses, the caller gets Retry-After") {
   auto Refuse = [](const std::string &Request, std::size_t) {
     return Script{refusal(fieldIn(Request, "x-call-id"))};
   };
@@ -182,12 +182,12 @@
   CHECK(fieldIn(Saw.Bytes_, "x-call-id") == "c1");
 }
 
-TEST_CASE("a server's failure is repeated where it may be, and passed on with "
-          "its proof where it stays") {
+TEST_CASE("a server's failure is retried where allowed, and the last one is "
+          "forwarded with its proof") {
   auto Fail = [](const std::string &Request, std::size_t) {
     return Script{wholeAnswer(fieldIn(Request, "x-call-id"), "failed", 500)};
   };
-  SUBCASE("repeated") {
+  SUBCASE("retried") {
     auto Count = std::make_shared<int>(0);
     Script First{wholeAnswer("c1", "failed", 500)};
     auto Each = firstThen(Count, First, answerAll);
@@ -201,17 +201,18 @@
     CHECK(fieldIn(Saw.Bytes_, "x-answer-proof") == "p");
     CHECK(Path.received() == 2);
   }
-  SUBCASE("not to be repeated") {
+  SUBCASE("must not be retried") {
     ForwardingHarness Path(kind(RequestKind::NonIdempotent), {Fail, Fail});
     CHECK(Path.call("c1").status() == 500);
     CHECK(Path.received() == 1);
   }
 }
 
-TEST_CASE("a server's 503 that does not say not run becomes no promise") {
-  // Symptom: a request that ran is answered 503, and its caller sends it again.
-  // Sequence: a server fails after it began to run the request.
-  // Cause: its status was passed on; ours with that number promises not run.
+TEST_CASE("a server's 503 without a statement that it did not run is not "
+          "forwarded") {
+  // Guards against a retry of a request that ran. A server fails with 503 after
+  // it started to run the request; forwarded to the caller, this status would
+  // promise that the request was not run.
   ForwardingHarness Path(kind(RequestKind::NonIdempotent),
                          {always({wholeAnswer("c1", "overloaded", 503)})});
   auto Saw = Path.call("c1");
@@ -219,8 +220,8 @@
   CHECK(fieldIn(Saw.Bytes_, "x-answer-proof").empty());
 }
 
-TEST_CASE("a connection that is reset after the request left is not tried "
-          "again where that may run twice") {
+TEST_CASE("a non-idempotent request is not retried after its connection was "
+          "reset") {
   Script Reset{"", Script::Then::Reset};
   ForwardingHarness Path(kind(RequestKind::NonIdempotent),
                          {always(Reset), always(Reset)});
@@ -228,7 +229,7 @@
   CHECK(Path.received() == 1);
 }
 
-TEST_CASE("a stream's events are passed on as they come, up to its end") {
+TEST_CASE("a stream's events are forwarded in order, up to its end") {
   std::string Whole =
       streamHead("c1") + eventChunk(1, "a") + eventChunk(2, "b") + LastChunk;
   ForwardingHarness Path(stream(false), {always({Whole})});
@@ -238,11 +239,11 @@
   CHECK(Saw.Bytes_.find("data: a") < Saw.Bytes_.find("data: b"));
 }
 
-TEST_CASE("a resumable stream that breaks within an event goes on after its "
-          "last whole one") {
-  // Symptom: a piece of a stream is missing, or comes twice.
-  // Sequence: a server breaks off in the middle of an event; another goes on.
-  // Cause: the half event was passed on, or the wrong event named as the last.
+TEST_CASE("a resumable stream that breaks within an event continues after its "
+          "last complete event") {
+  // Guards against missing or duplicate data in a stream. A server breaks off
+  // in the middle of an event and another one continues; the fault would be to
+  // forward the incomplete event, or to send the wrong id as the last event's.
   Script Broken{streamHead("c1") + eventChunk(1, "a") + chunk("id: 2\nda"),
                 Script::Then::Close};
   auto Count = std::make_shared<int>(0);
@@ -263,7 +264,7 @@
   CHECK(Path.received() == 2);
 }
 
-TEST_CASE("a stream that can't go on ends without its last chunk") {
+TEST_CASE("a stream that can't be continued ends without its last chunk") {
   Script Broken{streamHead("c1") + eventChunk(1, "a"), Script::Then::Close};
   ForwardingHarness Path(stream(false), {always(Broken), always(Broken)});
   auto Saw = Path.call("c1");
@@ -272,17 +273,17 @@
   CHECK(Path.received() == 1);
 }
 
-TEST_CASE("a stream that breaks before its first event is a failure with a "
+TEST_CASE("a stream that breaks before its first event fails with an error "
           "status") {
   Script Broken{streamHead("c1"), Script::Then::Close};
   ForwardingHarness Path(stream(false), {always(Broken)});
   CHECK(Path.call("c1").status() == 502);
 }
 
-TEST_CASE("a caller that leaves its stream ends the server's work") {
-  // Symptom: engines work for callers that are gone.
-  // Sequence: a caller closes its connection in the middle of a stream.
-  // Cause: nobody looks at the caller's side while the server's is read.
+TEST_CASE("a caller that disconnects from its stream ends the server's work") {
+  // Guards against engines that work for callers that have disconnected. A
+  // caller closes its connection in the middle of a stream, which goes
+  // unnoticed if only the server's connection is watched.
   Script Endless{streamHead("c1") + eventChunk(1, "a"), Script::Then::Hold};
   ForwardingHarness Path(stream(false), {always(Endless)});
   auto Saw = Path.begin("c1");
@@ -292,7 +293,8 @@
   CHECK(Path.runUntil([&] { return Path.server(0).closed() == 1; }));
 }
 
-TEST_CASE("a caller that leaves while it waits is never dispatched") {
+TEST_CASE(
+    "a request whose caller disconnects while it waits is not dispatched") {
   auto Wanted = kind(RequestKind::NonIdempotent);
   Wanted.MaxInFlight_ = 1;
   ForwardingHarness Path(Wanted, {always({"", Script::Then::Hold})});
@@ -305,30 +307,32 @@
   CHECK(Path.received() == 1);
 }
 
-TEST_CASE(
-    "a caller that left while the process was held up is not dispatched") {
-  // Requests reached engines 0.6 s after their callers had left, at a daemon
-  // that had just taken in a configuration with many routes: its thread serves
-  // nobody meanwhile, over 200 ms for 4,200 routes on an eighth of a core. A
-  // caller gives up and a connection to an engine is made in such a pause, so
-  // both events are due in one turn; where the connection's comes first, the
-  // whole request is at the engine before the caller's leaving is looked at.
+TEST_CASE("a request whose caller left during a pause of the process is not "
+          "dispatched") {
+  // Guards against requests that reach an engine after their callers have left,
+  // seen with a delay of 0.6 s. A daemon's thread pauses while it applies a
+  // configuration with many routes, for over 200 ms with 4,200 routes on 1/8 of
+  // a core. If the caller disconnects and the connection to the engine is
+  // established during the pause, both events are handled in one event-loop
+  // iteration. If the connection's event comes first, the whole request would
+  // be sent to the engine before the disconnect is noticed.
   BareListener Server;
   ForwardingHarness Path(kind(RequestKind::Idempotent), {});
   Path.publishAt(Server.address());
   auto Saw = Path.begin("c1");
-  // The connection stands; the request's coroutine has not been told yet.
+  // The connection is established, but the request's coroutine hasn't been
+  // resumed yet.
   REQUIRE(Path.runUntil([&] { return Server.connected(); }));
   ForwardingHarness::leave(*Saw);
   CHECK(Path.runUntil([&] { return Server.closed(); }));
   CHECK(Server.received() == "");
 }
 
-TEST_CASE("a key that is taken away while its request waits does not run") {
-  // Symptom: a request runs seconds after its key was taken away.
-  // Sequence: a request waits for a place; a configuration takes its key away;
-  // a place gets free.
-  // Cause: keys were looked at on arrival only.
+TEST_CASE("a request whose key is revoked while it waits does not run") {
+  // Guards against a request that runs seconds after its key was revoked. A
+  // configuration revokes the key while the request waits for a slot; if keys
+  // were checked on arrival only, the request would run when a slot becomes
+  // free.
   auto Wanted = kind(RequestKind::Idempotent);
   Wanted.MaxInFlight_ = 1;
   Wanted.Keyed_ = true;
@@ -344,8 +348,8 @@
   CHECK(Path.received() == 1);
 }
 
-TEST_CASE("with a configuration that may be out of date keys are neither "
-          "honoured nor denied") {
+TEST_CASE("with a configuration that may be out of date, keys are neither "
+          "accepted nor rejected") {
   auto Wanted = kind(RequestKind::NonIdempotent);
   Wanted.Keyed_ = true;
   Wanted.Lease_ = std::chrono::milliseconds(1);
@@ -359,10 +363,11 @@
   CHECK(Path.received() == 0);
 }
 
-TEST_CASE("a server that begins to leave gets nothing that waits for it") {
-  // Symptom: a request reaches a server seconds after it began to leave.
-  // Sequence: a request waits for a place there; the directory says leaving.
-  // Cause: the grant went by what was known when the request came.
+TEST_CASE("a server that starts to leave gets no requests that wait for it") {
+  // Guards against a request that reaches a server seconds after it started to
+  // leave. The directory marks the server as leaving while the request waits
+  // for a slot there; the grant must not use the state from the request's
+  // arrival.
   auto Wanted = kind(RequestKind::NonIdempotent);
   Wanted.MaxInFlight_ = 1;
   ForwardingHarness Path(Wanted, {always({"", Script::Then::Hold})});
@@ -376,11 +381,10 @@
   CHECK(Path.received() == 1);
 }
 
-TEST_CASE("a request has its final answer soon after its route's timeout") {
-  // Symptom: callers wait far beyond the time that the operator set.
-  // Sequence: a server takes a request and says nothing; the caller would wait
-  // for a minute.
-  // Cause: only the caller's own limit counted.
+TEST_CASE("a request gets its final answer soon after its route's timeout") {
+  // Guards against callers that wait far longer than the operator's limit. A
+  // server accepts a request and never answers, while the caller states a
+  // timeout of a minute; the shorter timeout of the route must apply.
   using std::chrono::steady_clock;
   auto Hanging = always({"", Script::Then::Hold});
   for (auto Kind : {RequestKind::Idempotent, RequestKind::NonIdempotent,
@@ -392,7 +396,8 @@
     auto Saw = Path.call("c1", "x", "X-Request-Timeout-Ms: 60000\r\n");
     CHECK(Saw.status() == 504);
     CHECK(steady_clock::now() - Begin < std::chrono::milliseconds(800));
-    // The server is told no more time than is left of the route's.
+    // The timeout sent to the server is at most the remaining time of the
+    // route's timeout.
     const std::string &Sent = Path.server(0).requests().empty()
                                   ? Path.server(1).requests().at(0)
                                   : Path.server(0).requests().at(0);
--- a/UnitTests/Request/ForwardingHarness.cpp
+++ b/UnitTests/Request/ForwardingHarness.cpp
@@ -25,8 +25,9 @@
 const ServiceName Service("fleet");
 const PoolName ThePool("pool");
 constexpr std::size_t ReadBytes = 4096;
-/// Far longer than any case takes, short enough to see that one hangs.
-constexpr std::chrono::seconds LongestCase{10};
+/// Time limit of runUntil(): far longer than any test case takes, and short
+/// enough to notice one that hangs.
+constexpr std::chrono::seconds MaxRunTime{10};
 
 Endpoint anyPort() { return {asio::ip::make_address("127.0.0.1"), 0}; }
 
@@ -36,8 +37,9 @@
   return At == std::string::npos ? At : At + Blank.size();
 }
 
-/// True when \p Bytes hold a whole message, by its length or its last chunk.
-bool isWhole(const std::string &Bytes) {
+/// \returns true if \p Bytes contain a complete message, by its length or its
+/// last chunk.
+bool isComplete(const std::string &Bytes) {
   std::size_t End = headEnd(Bytes);
   if (End == std::string::npos)
     return false;
@@ -50,11 +52,11 @@
 }
 
 Awaitable<bool> readMore(Tcp::socket &Socket, std::string &Into) {
-  std::array<char, ReadBytes> Space;
+  std::array<char, ReadBytes> Buffer;
   boost::system::error_code Error;
   std::size_t Count = co_await Socket.async_read_some(
-      asio::buffer(Space), asio::redirect_error(asio::use_awaitable, Error));
-  Into.append(Space.data(), Count);
+      asio::buffer(Buffer), asio::redirect_error(asio::use_awaitable, Error));
+  Into.append(Buffer.data(), Count);
   co_return !Error;
 }
 
@@ -79,16 +81,16 @@
 
 Awaitable<void> ScriptedServer::serve(Tcp::socket Socket) {
   std::string Request;
-  Script Now;
+  Script Current;
   bool Decided = false;
   while (true) {
     if (!Decided && headEnd(Request) != std::string::npos) {
-      Now = Decide_(Request, Requests_.size());
+      Current = Decide_(Request, Requests_.size());
       Decided = true;
     }
-    bool Enough = Decided && Now.AnswerAfterBytes_ > 0 &&
-                  Request.size() >= Now.AnswerAfterBytes_;
-    if (!Enough && !isWhole(Request)) {
+    bool AnswerEarly = Decided && Current.AnswerAfterBytes_ > 0 &&
+                       Request.size() >= Current.AnswerAfterBytes_;
+    if (!AnswerEarly && !isComplete(Request)) {
       bool More = co_await readMore(Socket, Request);
       if (More)
         continue;
@@ -98,18 +100,18 @@
     Requests_.push_back(std::exchange(Request, {}));
     Decided = false;
     boost::system::error_code Error;
-    auto Buffer = asio::buffer(Now.Bytes_);
+    auto Buffer = asio::buffer(Current.Bytes_);
     co_await asio::async_write(
         Socket, Buffer, asio::redirect_error(asio::use_awaitable, Error));
-    if (Now.Then_ == Script::Then::Close)
+    if (Current.Then_ == Script::Then::Close)
       co_return;
-    if (Now.Then_ == Script::Then::Reset) {
-      // Closed here: the destructor would take the option back.
+    if (Current.Then_ == Script::Then::Reset) {
+      // Closed explicitly, since the destructor would reset the linger option.
       Socket.set_option(asio::socket_base::linger(true, 0), Error);
       Socket.close(Error);
       co_return;
     }
-    if (Now.Then_ == Script::Then::KeepOpen)
+    if (Current.Then_ == Script::Then::KeepOpen)
       continue;
     std::string Ignored;
     bool Open = true;
@@ -135,12 +137,12 @@
 void BareListener::read() {
   if (!connected() || Closed_)
     return;
-  std::array<char, ReadBytes> Space;
+  std::array<char, ReadBytes> Buffer;
   boost::system::error_code Error;
   Socket_.non_blocking(true);
   while (!Error) {
-    std::size_t Count = Socket_.read_some(asio::buffer(Space), Error);
-    Received_.append(Space.data(), Count);
+    std::size_t Count = Socket_.read_some(asio::buffer(Buffer), Error);
+    Received_.append(Buffer.data(), Count);
   }
   Closed_ = Error != asio::error::would_block;
 }
@@ -301,7 +303,7 @@
   co_await asio::async_write(*Socket, Buffer,
                              asio::redirect_error(asio::use_awaitable, Error));
   bool Open = !Error;
-  while (Open && !isWhole(Saw->Bytes_))
+  while (Open && !isComplete(Saw->Bytes_))
     Open = co_await readMore(*Socket, Saw->Bytes_);
   Saw->Ended_ = true;
 }
@@ -333,7 +335,7 @@
 }
 
 bool ForwardingHarness::runUntil(const std::function<bool()> &Done) {
-  auto End = steady_clock::now() + LongestCase;
+  auto End = steady_clock::now() + MaxRunTime;
   Context_.restart();
   while (!Done() && steady_clock::now() < End)
     Context_.run_one_for(milliseconds(50));
--- a/UnitTests/Request/ForwardingHarness.h
+++ b/UnitTests/Request/ForwardingHarness.h
@@ -1,8 +1,8 @@
 #pragma once
 /// \file
-/// A daemon's path of a forwarded request in one process and one thread: caller
-/// side, keeper and connections are the real ones; backend servers are scripts
-/// that read a request and write bytes.
+/// Runs the path of a forwarded request through a daemon in one process and one
+/// thread. The caller side, the keeper and the connections are the real ones;
+/// backend servers are scripted: they read a request and write given bytes.
 
 #include "Process/Keeping/KeeperService.h"
 #include "Request/CallerService.h"
@@ -20,20 +20,22 @@
 struct Script {
   enum class Then {
     KeepOpen, ///< Waits for the next request.
-    Close,    ///< Closes in order.
+    Close,    ///< Closes the connection normally.
     Reset,    ///< Resets the connection.
-    Hold      ///< Does nothing until the other side closes.
+    Hold      ///< Sends nothing more until the peer closes.
   };
   std::string Bytes_;
   Then Then_ = Then::KeepOpen;
-  /// Answers once this much of the request has come; 0: the whole of it.
+  /// Answers after this many bytes of the request; 0: after the whole request.
   std::size_t AnswerAfterBytes_ = 0;
 };
 
-/// Decides by the request's bytes and its number at this server, from 0.
+/// Selects the script by the request's bytes and its number at this server,
+/// starting at 0.
 using ScriptOf =
     std::function<Script(const std::string &Request, std::size_t Number)>;
 
+/// A backend server whose answers are given by scripts.
 class ScriptedServer {
 public:
   ScriptedServer(boost::asio::io_context &Context, ScriptOf Decide);
@@ -41,7 +43,7 @@
   Endpoint address() const { return Acceptor_.local_endpoint(); }
   const std::vector<std::string> &requests() const { return Requests_; }
   std::size_t connections() const { return Connections_; }
-  /// Connections that the other side closed.
+  /// Number of connections that the peer closed.
   std::size_t closed() const { return Closed_; }
 
 private:
@@ -55,18 +57,18 @@
   std::size_t Closed_ = 0;
 };
 
-/// A listening socket that no coroutine serves: it shows what has reached it
-/// between two handlers of a harness, without taking a turn itself.
+/// A listening socket that no coroutine serves. It shows what it has received
+/// between two handlers of a harness, without running a handler itself.
 class BareListener {
 public:
   BareListener();
 
   Endpoint address() const { return Acceptor_.local_endpoint(); }
-  /// True once a connection was made to it.
+  /// \returns true once a connection has been established.
   bool connected();
-  /// All bytes of the first connection so far.
+  /// \returns all bytes received on the first connection so far.
   const std::string &received();
-  /// True once the other side has closed the first connection.
+  /// \returns true once the peer has closed the first connection.
   bool closed();
 
 private:
@@ -79,10 +81,11 @@
   bool Closed_ = false;
 };
 
-/// What a caller saw: all bytes until its answer was whole, or the end.
+/// What a caller received: all bytes until its answer was complete or the
+/// connection ended.
 struct CallerSaw {
   std::string Bytes_;
-  bool Ended_ = false; ///< The connection ended, or the answer is whole.
+  bool Ended_ = false; ///< The connection ended or the answer is complete.
   std::weak_ptr<boost::asio::ip::tcp::socket> Connection_;
 
   int status() const;
@@ -90,6 +93,7 @@
   bool hasLastChunk() const;
 };
 
+/// A daemon's request path with scripted backend servers and test callers.
 class ForwardingHarness {
 public:
   struct Options {
@@ -98,10 +102,11 @@
     std::uint32_t Attempts_ = 2;
     std::uint32_t MaxInFlight_ = 4;
     bool Keyed_ = false;
-    /// The route's.
+    /// The timeout of the route.
     std::chrono::milliseconds Timeout_{3000};
     BootClock::duration Lease_{0};
-    /// How long a newer configuration may be known of; 0: for ever.
+    /// How long a newer configuration may be known without being applied; 0: no
+    /// limit.
     BootClock::duration ApplyBound_{0};
   };
 
@@ -110,25 +115,28 @@
   /// Sends a request with this body and reads its answer.
   CallerSaw call(const std::string &CallId, const std::string &Body = "x",
                  const std::string &MoreFields = "");
-  /// Begins a call; the answer is read while run() or runUntil() run.
+  /// Starts a call; its answer is read while runUntil() runs.
   std::shared_ptr<CallerSaw> begin(const std::string &CallId,
                                    const std::string &Body = "x",
                                    const std::string &MoreFields = "");
-  /// Closes the call's connection.
+  /// Closes the caller's connection.
   static void leave(const CallerSaw &Call);
-  /// Runs until \p Done, some seconds at the most. \returns whether it is.
+  /// Runs until \p Done returns true or a time limit expires. \returns the
+  /// final result of \p Done.
   bool runUntil(const std::function<bool()> &Done);
 
   ScriptedServer &server(std::size_t Index) { return *Servers_[Index]; }
+  /// \returns the number of requests received by all servers.
   std::size_t received() const;
   /// Publishes the directory; \p Leaving and \p Gone are indexes of servers.
   void publish(std::vector<std::size_t> Leaving = {},
                std::vector<std::size_t> Gone = {});
   /// Publishes a directory with one server, at this address.
   void publishAt(const Endpoint &Address);
-  /// Puts a configuration in force with these keys.
+  /// Activates a configuration in which the customer has these keys.
   void adopt(std::vector<std::string> Keys);
   FreshnessLease &lease() { return Lease_; }
+  /// \returns the number of requests that wait for a grant.
   std::size_t waiting() const { return Grants_->waiting(); }
 
 private:
@@ -153,18 +161,19 @@
   std::uint64_t Version_ = 0;
 };
 
-/// "HTTP/1.1 200 OK" with a length, the call's id and the proof.
+/// \returns a complete answer with a length, the call's id and the proof.
 std::string wholeAnswer(const std::string &CallId, const std::string &Body,
                         int Status = 200);
-/// The head of a chunked stream of events.
+/// \returns the head of a chunked stream of events.
 std::string streamHead(const std::string &CallId);
-/// One event as one chunk.
+/// \returns one event as one chunk.
 std::string eventChunk(int Id, const std::string &Data);
 std::string chunk(const std::string &Data);
 inline const std::string LastChunk = "0\r\n\r\n";
-/// The server says that it did not run the request.
+/// \returns an answer that states that the server did not run the request.
 std::string refusal(const std::string &CallId);
-/// The value of a field in a request's or answer's bytes; empty when absent.
+/// \returns the value of a header field in a raw request or answer; empty if
+/// absent.
 std::string fieldIn(const std::string &Bytes, const std::string &Name);
 
 } // namespace samphireshunt::tests
--- a/UnitTests/Request/ModelCallTest.cpp
+++ b/UnitTests/Request/ModelCallTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// A model request whose caller or keeper ends it at the last moment.
+/// Model requests that the caller or the keeper ends at a critical moment, and
+/// requests with deeply nested bodies.
 
 #include "Common/Hash.h"
 #include "UnitTests/Request/ForwardingHarness.h"
@@ -18,9 +19,9 @@
 const PoolName ThePool("pool");
 const VmId Self("vm");
 const RequestId Id{1, 1};
-constexpr std::string_view LastEvent = "[DONE]";
+constexpr std::string_view FinalEvent = "[DONE]";
 
-/// A caller whose side of the exchange is in the test's hands.
+/// A caller's exchange that the test controls.
 class FakeExchange : public HttpExchange {
 public:
   const HttpRequest &request() const override { return Request_; }
@@ -31,7 +32,7 @@
   Awaitable<bool> beginStream(HttpResponse) override { co_return true; }
   Awaitable<bool> writeChunk(std::string Data) override {
     Written_ += Data;
-    co_return TakesChunk_(Data);
+    co_return AcceptChunk_(Data);
   }
   Awaitable<bool> endStream() override { co_return true; }
   void abort() override { OnAbort_(); }
@@ -44,12 +45,12 @@
   HttpResponse Answer_;
   std::string Written_;
   std::function<void()> CallerLeft_;
-  std::function<bool(const std::string &)> TakesChunk_ =
+  std::function<bool(const std::string &)> AcceptChunk_ =
       [](const std::string &) { return true; };
   std::function<void()> OnAbort_ = [] {};
 };
 
-/// A daemon that keeps its own cell of one model engine.
+/// A daemon that schedules a cell of its own with one model engine.
 class ModelHarness {
 public:
   explicit ModelHarness(std::vector<std::string> Events)
@@ -80,7 +81,7 @@
         services(), [] { return true; }, [] { return Id; });
   }
 
-  /// Runs the request to its end, and what is posted meanwhile.
+  /// Runs the request to its end, and the handlers that are posted meanwhile.
   void run(FakeExchange &Exchange, bool Streaming) {
     runBody(Exchange,
             fmt::format(
@@ -103,7 +104,7 @@
     REQUIRE(Ended);
     Context_.poll();
   }
-  /// The keeper takes the engine for a higher tier.
+  /// Cancels the request as if the keeper revoked the engine for a higher tier.
   void cancel() {
     Grants_->onDecision(CancelDecision{Id, ServerName("engine"), Self}, Self);
   }
@@ -178,24 +179,24 @@
 } // namespace
 
 TEST_CASE("a caller that leaves before the last event ends only its request") {
-  // A daemon ends by itself, with a segmentation fault, when a caller leaves
-  // between the engine's last event and its own. The engine's connection was
-  // kept for the next request by then, and was to be closed all the same.
-  ModelHarness Daemon({Word, std::string(LastEvent)});
+  // Guards against a segmentation fault when a caller disconnects after the
+  // engine's last event but before its own. The engine's connection has then
+  // been released for other requests, but was closed nevertheless.
+  ModelHarness Daemon({Word, std::string(FinalEvent)});
   FakeExchange Caller;
-  Caller.TakesChunk_ = [](const std::string &Data) {
-    return Data.find(LastEvent) == std::string::npos;
+  Caller.AcceptChunk_ = [](const std::string &Data) {
+    return Data.find(FinalEvent) == std::string::npos;
   };
   Daemon.run(Caller, true);
-  CHECK(Caller.Written_.find(LastEvent) != std::string::npos);
+  CHECK(Caller.Written_.find(FinalEvent) != std::string::npos);
 }
 
-TEST_CASE("a cancellation that comes after a fault meets nothing that ended") {
-  // A daemon ends by itself, with a segmentation fault, when an engine's event
-  // can't be read and the keeper takes the engine for a higher tier in the same
-  // turn. The fault ends the request and its connection; the cancellation, on
-  // its way by then, held that connection's address.
-  ModelHarness Daemon({R"({"choices":[],"model":5})", std::string(LastEvent)});
+TEST_CASE("a cancellation after a fault does not access the ended request") {
+  // Guards against a segmentation fault when an engine's event can't be parsed
+  // and the keeper revokes the engine for a higher tier in the same event-loop
+  // iteration. The fault ends the request and destroys its connection, but the
+  // cancellation that was already posted still had the connection's address.
+  ModelHarness Daemon({R"({"choices":[],"model":5})", std::string(FinalEvent)});
   FakeExchange Caller;
   bool Aborted = false;
   Caller.OnAbort_ = [&] {
@@ -209,14 +210,12 @@
 }
 
 TEST_CASE("a body that nests deeply is refused") {
-  // Symptom: a daemon ends by itself, with a segmentation fault, and then the
-  // one that its caller tries next.
-  // Sequence: a caller sends a request of 400 KB that is nothing but lists in
-  // lists, beside what a request needs.
-  // Cause: a JSON value is written by a function that calls itself for each
-  // level, and the stack ends before the levels do.
+  // Guards against a stack overflow that crashes the daemon with a segmentation
+  // fault, and then the next daemon that the caller tries. The caller sends a
+  // request with 400 KB of nested arrays, and the JSON library writes values by
+  // recursion over their nesting levels.
   constexpr std::size_t Levels = 200000;
-  ModelHarness Daemon({Word, std::string(LastEvent)});
+  ModelHarness Daemon({Word, std::string(FinalEvent)});
   FakeExchange Caller;
   Daemon.runBody(Caller,
                  R"({"model":"m","messages":[{"content":"x"}],"more":)" +
@@ -224,9 +223,9 @@
   CHECK(Caller.Answer_.Status_ == 400);
 }
 
-TEST_CASE("a body that nests as tools' schemas do is served") {
+TEST_CASE("a body that is nested like the schemas of tools is served") {
   constexpr std::size_t Levels = 40;
-  ModelHarness Daemon({Word, std::string(LastEvent)});
+  ModelHarness Daemon({Word, std::string(FinalEvent)});
   FakeExchange Caller;
   Daemon.runBody(Caller,
                  R"({"model":"m","messages":[{"content":"x"}],"more":)" +
--- a/UnitTests/Request/RepeatBudgetTest.cpp
+++ b/UnitTests/Request/RepeatBudgetTest.cpp
@@ -10,22 +10,22 @@
 const PoolName Pool("pool");
 } // namespace
 
-TEST_CASE("when every request fails, repeats stay a part of the requests") {
-  // Load: all engines of a pool fail, 50 requests a second, each of which may
-  // be sent twice.
+TEST_CASE("when every request fails, retries stay a fraction of the requests") {
+  // All engines of a pool fail at 50 requests per second. Retrying each request
+  // would double the load.
   RepeatBudget Budget({.Ratio_ = 0.2, .Extra_ = 14});
   constexpr std::size_t Daemons = 7;
-  int Repeats = 0;
+  int Retries = 0;
   for (int Index = 0; Index < 500; ++Index) {
     auto Now = Start + milliseconds(20 * Index);
     Budget.noteRequest(Pool, Now);
-    Repeats += Budget.tryRepeat(Pool, Daemons, Now);
+    Retries += Budget.tryRepeat(Pool, Daemons, Now);
   }
-  CHECK(Repeats <= 0.2 * 500 + 14.0 / Daemons);
-  CHECK(Repeats >= 50);
+  CHECK(Retries <= 0.2 * 500 + 14.0 / Daemons);
+  CHECK(Retries >= 50);
 }
 
-TEST_CASE("a pool with few requests may still repeat a little") {
+TEST_CASE("a pool with few requests may still retry some of them") {
   RepeatBudget Budget({.Ratio_ = 0.2, .Extra_ = 14});
   Budget.noteRequest(Pool, Start);
   CHECK(Budget.tryRepeat(Pool, 7, Start));
@@ -33,10 +33,11 @@
   CHECK(Budget.tryRepeat(Pool, 7, Start + std::chrono::seconds(11)));
 }
 
-TEST_CASE("a daemon that knows no other has the whole of what is on top") {
+TEST_CASE(
+    "a daemon that knows no other one has the whole additional allowance") {
   RepeatBudget Budget({.Ratio_ = 0, .Extra_ = 8});
-  int Repeats = 0;
+  int Retries = 0;
   for (int Index = 0; Index < 20; ++Index)
-    Repeats += Budget.tryRepeat(Pool, 1, Start);
-  CHECK(Repeats == 6);
+    Retries += Budget.tryRepeat(Pool, 1, Start);
+  CHECK(Retries == 6);
 }
--- a/UnitTests/Request/RequestStateTest.cpp
+++ b/UnitTests/Request/RequestStateTest.cpp
@@ -8,9 +8,9 @@
 using namespace samphireshunt;
 
 TEST_CASE("of a grant and a deadline in one instant, one wins") {
-  // Symptom: a caller is told "not run" of a request that runs.
-  // Sequence: grant and deadline reach the request on two threads at once.
-  // Cause: each looked at the state, then changed it.
+  // Guards against outcome "not-run" for a request that runs: grant and
+  // deadline reach the request on two threads at the same time, and each checks
+  // the state before it changes it, without atomicity.
   constexpr int Rounds = 20000;
   int Dispatched = 0;
   for (int Round = 0; Round < Rounds; ++Round) {
--- a/UnitTests/Request/TraceTest.cpp
+++ b/UnitTests/Request/TraceTest.cpp
@@ -4,7 +4,8 @@
 
 using namespace samphireshunt;
 
-TEST_CASE("a caller's trace goes on, with this daemon's spans below its own") {
+TEST_CASE(
+    "a caller's trace is continued, with this daemon's spans as children") {
   const std::string Given =
       "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
   Trace Request(Given, 42);
--- a/UnitTests/Request/WaitPlanTest.cpp
+++ b/UnitTests/Request/WaitPlanTest.cpp
@@ -23,24 +23,22 @@
 
 } // namespace
 
-TEST_CASE("a first attempt waits within its objective, one that came back for "
-          "as long as its caller stays") {
-  // Load: a burst of 5 s at twice the capacity; see WaitPlan.h.
+TEST_CASE("a first attempt waits within its objective, a retry for as long as "
+          "its caller stays") {
+  // The case is a burst of 5 s at twice the capacity; see WaitPlan.h.
   WaitPlan First = planWait(stream(), times(milliseconds(0)), Start);
   CHECK(First.MaxWait_ == milliseconds(500));
   CHECK(First.Objective_ == Start + milliseconds(500));
-  WaitPlan Back = planWait(stream(), times(milliseconds(3000)), Start);
-  // Callers stay for 3200 ms without an event.
-  CHECK(Back.MaxWait_ == milliseconds(2400));
-  CHECK(Back.Objective_ == Start);
+  WaitPlan Retry = planWait(stream(), times(milliseconds(3000)), Start);
+  // 2400 ms are 75% of the 3200 ms that callers wait for an event.
+  CHECK(Retry.MaxWait_ == milliseconds(2400));
+  CHECK(Retry.Objective_ == Start);
 }
 
-TEST_CASE("a request that asks a second cell has waited already") {
-  // Symptom: callers of streams leave after 3.2 s without any answer: 865 on a
-  // day of high load.
-  // Sequence: a request waits for 2.4 s at one cell, is refused, and asks the
-  // pool's next cell.
-  // Cause: it was allowed to wait there for another 2.4 s.
+TEST_CASE("the wait at a second cell includes the wait at the first one") {
+  // Guards against callers of streams that disconnect after 3.2 s without an
+  // answer. A request waits for 2.4 s at one cell, is refused, and requests a
+  // grant from the pool's next cell, where it must not wait for another 2.4 s.
   WaitPlan Again =
       planWait(stream(), times(milliseconds(3000)), Start + milliseconds(2300));
   CHECK(Again.MaxWait_ == milliseconds(100));
@@ -49,7 +47,7 @@
   CHECK(Again.MaxWait_ == milliseconds(1));
 }
 
-TEST_CASE("a caller that comes back states less time than is usual") {
+TEST_CASE("a retry is detected by a stated timeout below the usual one") {
   UsualTimeouts Usual;
   CHECK(Usual.sinceFirstAttempt("r", milliseconds(6000), Start).count() == 0);
   CHECK(Usual.sinceFirstAttempt("r", milliseconds(5000), Start).count() == 0);
@@ -59,7 +57,7 @@
         0);
 }
 
-TEST_CASE("a limit that callers no longer state is forgotten") {
+TEST_CASE("a timeout that callers no longer state is forgotten") {
   UsualTimeouts Usual;
   Usual.sinceFirstAttempt("r", milliseconds(6000), Start);
   for (int Second = 1; Second <= 70; ++Second)
