--- a/Source/Request/RequestContext.cpp
+++ b/Source/Request/RequestContext.cpp
@@ -38,7 +38,7 @@
                                                         "content-length"};
 /// Carries the caller's key, which backend servers must not see.
 constexpr std::string_view CallerKeyField = "authorization";
-/// A refused caller is told to wait for at most the remaining time divided by
+/// A refused caller is asked to wait for at most the remaining time divided by
 /// this; the jitter takes off at most the same fraction of the delay.
 constexpr int RetryDelayDivisor = 3;
 
--- a/UnitTests/Request/ForwardedCallTest.cpp
+++ b/UnitTests/Request/ForwardedCallTest.cpp
@@ -95,7 +95,7 @@
   CHECK(Path.call("c1").status() == 502);
 }
 
-TEST_CASE("a truncated answer never looks whole") {
+TEST_CASE("a truncated answer never looks complete") {
   // Guards against a caller that takes the start of an answer for the complete
   // answer: a server closes before the end of the body, and the end of the
   // connection is taken for the end of the body.
