--- a/standins/Caller.cpp
+++ b/standins/Caller.cpp
@@ -15,9 +15,9 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-/// The caller waits longer than the deadline that it gives: the daemon must
-/// answer by then, and an answer that never comes is a finding.
-constexpr milliseconds Patience{10000};
+/// How long the caller waits past the deadline it sends. The daemon must answer
+/// by the deadline, so a call without an answer after this time is a violation.
+constexpr milliseconds AnswerGrace{10000};
 
 int numberField(const HttpResponse &Head, const std::string &Name) {
   auto Found = Head.Fields_.find(Name);
@@ -65,58 +65,59 @@
   return Built;
 }
 
-class Reader {
+/// Fills in a call's record from the answer as it is received.
+class AnswerReader {
 public:
-  Reader(const CallRequest &Request, CallRecord &Record)
+  AnswerReader(const CallRequest &Request, CallRecord &Record)
       : Request_(Request), Record_(Record) {}
 
-  void head(const HttpResponse &Head) {
+  void onHead(const HttpResponse &Head) {
     Record_.Status_ = Head.Status_;
     Record_.Code_ = numberField(Head, "x-result-code");
     Record_.ServedBy_ = textField(Head, "x-served-by");
     Record_.BackendServer_ = textField(Head, "x-backend-server");
     Record_.Replay_ = Head.Fields_.contains("idempotent-replay");
     Record_.HasRetryAfter_ = Head.Fields_.contains("retry-after");
-    Named_ = textField(Head, "x-outcome");
+    NamedOutcome_ = textField(Head, "x-outcome");
     IsStream_ = textField(Head, "content-type") == "text/event-stream";
   }
 
-  void part(const std::string &Data) {
+  void onBodyData(const std::string &Data) {
     if (!IsStream_) {
       Body_ += Data;
       return;
     }
     for (const ServerSentEvent &Event : Events_.feed(Data))
-      event(Event);
+      onEvent(Event);
   }
 
-  /// The body ended as HTTP says it must.
-  void end() {
-    Record_.Complete_ = IsStream_ ? SawLast_ : true;
-    Record_.Outcome_ = IsStream_ && SawLast_ ? "answered" : Named_;
-    if (IsStream_ && SawLast_)
+  /// Called when the body ended as HTTP requires.
+  void onEnd() {
+    Record_.Complete_ = IsStream_ ? SawDone_ : true;
+    Record_.Outcome_ = IsStream_ && SawDone_ ? "answered" : NamedOutcome_;
+    if (IsStream_ && SawDone_)
       Record_.Code_ = 0;
     if (!IsStream_)
-      takeBody();
+      readBody();
     if (Record_.Outcome_ == "answered")
-      Record_.Correct_ = Record_.Text_ == expected();
+      Record_.Correct_ = Record_.Text_ == expectedText();
   }
 
-  /// The connection broke.
-  void broken() {
-    if (!Named_.empty())
-      Record_.Outcome_ = Named_;
+  /// Called when the connection was lost before the body ended.
+  void onConnectionLost() {
+    if (!NamedOutcome_.empty())
+      Record_.Outcome_ = NamedOutcome_;
   }
 
 private:
-  void event(const ServerSentEvent &Event) {
+  void onEvent(const ServerSentEvent &Event) {
     if (Event.Data_ == "[DONE]") {
-      SawLast_ = true;
+      SawDone_ = true;
       return;
     }
     Json Data = Json::parse(Event.Data_, nullptr, false);
     if (Event.Name_ == "error" && Data.is_object()) {
-      Named_ = Data["error"].value("outcome", "");
+      NamedOutcome_ = Data["error"].value("outcome", "");
       Record_.Code_ = Data["error"].value("code", -1);
       return;
     }
@@ -132,7 +133,7 @@
       Record_.Text_ += Data["choices"][0]["delta"].value("content", "");
   }
 
-  void takeBody() {
+  void readBody() {
     Json Body = Json::parse(Body_, nullptr, false);
     if (!Body.is_object())
       return;
@@ -142,7 +143,7 @@
       Record_.Text_ = Body["choices"][0]["message"].value("content", "");
   }
 
-  std::string expected() const {
+  std::string expectedText() const {
     if (Request_.Mode_ == CallMode::Application)
       return applicationAnswer(Request_.Path_, Request_.Nonce_);
     return answerText(Request_.Prompt_, Request_.MaxTokens_);
@@ -151,10 +152,10 @@
   const CallRequest &Request_;
   CallRecord &Record_;
   EventStream Events_;
-  std::string Named_;
+  std::string NamedOutcome_;
   std::string Body_;
   bool IsStream_ = false;
-  bool SawLast_ = false;
+  bool SawDone_ = false;
   steady_clock::time_point Started_ = steady_clock::now();
   steady_clock::time_point LastToken_;
 };
@@ -168,39 +169,39 @@
   Record.IdempotencyKey_ = Request.IdempotencyKey_;
   Record.Tier_ = Request.Tier_;
   auto Started = steady_clock::now();
-  Reader Answer(Request, Record);
+  AnswerReader Answer(Request, Record);
   std::unique_ptr<HttpConnection> Connection;
   if (Reused && *Reused && (*Reused)->quiet())
     Connection = std::move(*Reused);
   if (!Connection) {
     auto Connected =
-        co_await HttpConnection::connect(Request.Target_, Patience);
+        co_await HttpConnection::connect(Request.Target_, AnswerGrace);
     if (!Connected) {
       Record.Outcome_ = "unreachable";
       co_return Record;
     }
     Connection = std::move(*Connected);
   }
-  milliseconds Limit = Request.Timeout_ + Patience;
-  HttpRequest Sending = httpRequest(Request);
-  auto Sent = co_await Connection->send(Sending, Limit);
+  milliseconds Limit = Request.Timeout_ + AnswerGrace;
+  HttpRequest Outgoing = httpRequest(Request);
+  auto Sent = co_await Connection->send(Outgoing, Limit);
   if (!Sent)
     co_return Record;
   auto Head = co_await Connection->readHead(Limit);
   if (!Head)
     co_return Record;
-  Answer.head(*Head);
+  Answer.onHead(*Head);
   while (true) {
-    auto Part = co_await Connection->readSome(Limit);
-    if (!Part) {
-      Answer.broken();
+    auto BodyData = co_await Connection->readSome(Limit);
+    if (!BodyData) {
+      Answer.onConnectionLost();
       break;
     }
-    if (Part->empty()) {
-      Answer.end();
+    if (BodyData->empty()) {
+      Answer.onEnd();
       break;
     }
-    Answer.part(*Part);
+    Answer.onBodyData(*BodyData);
   }
   Record.Total_ = duration_cast<microseconds>(steady_clock::now() - Started);
   if (Reused && Connection->reusable())
--- a/standins/Caller.h
+++ b/standins/Caller.h
@@ -1,7 +1,7 @@
 #pragma once
 /// \file
-/// A caller: sends one request, reads the answer whole, and judges it against
-/// what only its own request can have got.
+/// A caller that sends one request, reads the complete answer and compares it
+/// with the answer expected for this request.
 
 #include "Connection/Http.h"
 
@@ -31,18 +31,18 @@
   std::chrono::milliseconds Timeout_{30000};
 };
 
-/// What the caller saw; one line of its log.
+/// The result of one call as the caller observed it; a line of its log.
 struct CallRecord {
   std::string Nonce_;
   std::string IdempotencyKey_;
   std::string Tier_;
-  /// The outcome that the answer names; "cut" when the connection broke with
-  /// no final answer.
+  /// The outcome that the answer names; "cut" when the connection was lost
+  /// before a final answer.
   std::string Outcome_ = "cut";
   int Code_ = -1;
   int Status_ = 0;
-  bool Complete_ = false; ///< The answer looked whole to the client.
-  bool Correct_ = false;  ///< It was the answer to this very request.
+  bool Complete_ = false; ///< The answer ended as the protocol requires.
+  bool Correct_ = false;  ///< The text is the answer to this request.
   std::string ServedBy_;
   std::string BackendServer_;
   std::string Text_;
@@ -57,8 +57,9 @@
   static CallRecord fromJson(const nlohmann::json &Line);
 };
 
-/// Makes one call over a connection of its own, or over \p Reused when that
-/// holds one; leaves the connection there when it can carry another call.
+/// Makes one call over the connection in \p Reused if there is one, otherwise
+/// over a new connection. A connection that can carry another call is moved
+/// back to \p Reused. Failures are reported in the record's outcome.
 Awaitable<CallRecord> call(CallRequest Request,
                            std::unique_ptr<HttpConnection> *Reused = nullptr);
 
--- a/standins/CallerMain.cpp
+++ b/standins/CallerMain.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Load tool: callers that send requests to daemons, closed loop or at a rate,
-/// and write a line for each answer.
+/// Load generator: sends requests to daemons in a closed loop or at a fixed
+/// rate, and logs a line for each call.
 
 #include "Caller.h"
 
@@ -18,26 +18,27 @@
 #include <cstdio>
 #include <map>
 
-ABSL_FLAG(std::string, targets, "", "IP:port,... of the daemons.");
-ABSL_FLAG(std::string, host, "", "Host field: chooses the service.");
+ABSL_FLAG(std::string, targets, "", "Addresses of the daemons, IP:port,...");
+ABSL_FLAG(std::string, host, "", "Host header field; selects the service.");
 ABSL_FLAG(std::string, key, "", "The customer's key.");
 ABSL_FLAG(std::string, mode, "chat", "chat, stream or application.");
-ABSL_FLAG(std::string, model, "", "Model of chat and stream.");
-ABSL_FLAG(std::string, path, "/v1/chat/completions", "Path of the request.");
-ABSL_FLAG(std::string, method, "POST", "Method of the request.");
-ABSL_FLAG(std::string, tier, "", "Tier that is asked for.");
-ABSL_FLAG(std::string, nonce_prefix, "call", "Start of each nonce.");
-ABSL_FLAG(bool, idempotency_keys, false, "Give each call a key of its own.");
-ABSL_FLAG(int, count, 1, "Calls in all.");
-ABSL_FLAG(int, concurrency, 1, "Calls at once at the most.");
-ABSL_FLAG(double, rate, 0, "Calls started a second; 0: closed loop.");
-ABSL_FLAG(int, prompt_tokens, 32, "Length of a prompt.");
+ABSL_FLAG(std::string, model, "", "Model that chat and stream requests name.");
+ABSL_FLAG(std::string, path, "/v1/chat/completions", "Path of the requests.");
+ABSL_FLAG(std::string, method, "POST", "Method of the requests.");
+ABSL_FLAG(std::string, tier, "", "Tier of the requests.");
+ABSL_FLAG(std::string, nonce_prefix, "call", "Prefix of each nonce.");
+ABSL_FLAG(bool, idempotency_keys, false,
+          "Give each call its own idempotency key.");
+ABSL_FLAG(int, count, 1, "Total number of calls.");
+ABSL_FLAG(int, concurrency, 1, "Maximum number of concurrent calls.");
+ABSL_FLAG(double, rate, 0, "Calls started per second; 0: closed loop.");
+ABSL_FLAG(int, prompt_tokens, 32, "Length of a prompt, in tokens.");
 ABSL_FLAG(int, shared_prefixes, 0,
-          "Prompts start with one of so many shared texts.");
-ABSL_FLAG(int, max_tokens, 16, "Length of an answer.");
-ABSL_FLAG(int, timeout_ms, 30000, "Deadline of a call.");
-ABSL_FLAG(std::uint64_t, seed, 1, "Seed of random choices.");
-ABSL_FLAG(std::string, log, "", "File for a line for each call.");
+          "Number of shared texts that prompts start with; 0: none.");
+ABSL_FLAG(int, max_tokens, 16, "Length of an answer, in tokens.");
+ABSL_FLAG(int, timeout_ms, 30000, "Deadline of a call, in ms.");
+ABSL_FLAG(std::uint64_t, seed, 1, "Seed of the random choices.");
+ABSL_FLAG(std::string, log, "", "File to write a line for each call to.");
 ABSL_FLAG(bool, print, false, "Print each answer.");
 
 namespace samphireshunt::standins {
@@ -52,14 +53,14 @@
   auto Size = static_cast<std::size_t>(absl::GetFlag(FLAGS_prompt_tokens)) *
               BytesPerToken;
   int Shared = absl::GetFlag(FLAGS_shared_prefixes);
-  std::string Own = " " + Nonce;
-  std::string Start = Nonce + " ";
+  std::string Suffix = " " + Nonce;
+  std::string Prefix = Nonce + " ";
   if (Shared > 0)
-    Start = fmt::format("file {} ", Random(static_cast<unsigned>(Shared)));
+    Prefix = fmt::format("file {} ", Random(static_cast<unsigned>(Shared)));
   std::string Text;
-  while (Text.size() + Own.size() < Size)
-    Text += Start;
-  return Text + Own;
+  while (Text.size() + Suffix.size() < Size)
+    Text += Prefix;
+  return Text + Suffix;
 }
 
 class LoadRun {
@@ -94,7 +95,7 @@
   }
 
 private:
-  CallRequest next() {
+  CallRequest nextRequest() {
     int Number = Next_++;
     CallRequest Request;
     Request.Target_ =
@@ -123,13 +124,14 @@
   }
 
   Awaitable<void> closedLoop() {
-    // A balancer keeps a caller's connection with one daemon.
+    // Connections are reused per daemon, as behind a load balancer, which pins
+    // a caller's connection to one daemon.
     std::map<Endpoint, std::unique_ptr<HttpConnection>> Connections;
     while (Next_ < absl::GetFlag(FLAGS_count)) {
-      CallRequest Request = next();
+      CallRequest Request = nextRequest();
       auto *Reused = &Connections[Request.Target_];
       CallRecord Record = co_await call(std::move(Request), Reused);
-      take(Record);
+      record(Record);
     }
   }
 
@@ -139,7 +141,9 @@
         std::chrono::duration<double>(1.0 / absl::GetFlag(FLAGS_rate)));
     auto Due = steady_clock::now();
     while (Next_ < absl::GetFlag(FLAGS_count)) {
-      auto One = [this, Request = next()]() { return openCall(Request); };
+      auto One = [this, Request = nextRequest()]() {
+        return openCall(Request);
+      };
       asio::co_spawn(Context_, std::move(One), asio::detached);
       Due += Gap;
       Timer.expires_at(Due);
@@ -149,10 +153,10 @@
 
   Awaitable<void> openCall(CallRequest Request) {
     CallRecord Record = co_await call(std::move(Request));
-    take(Record);
+    record(Record);
   }
 
-  void take(const CallRecord &Record) {
+  void record(const CallRecord &Record) {
     if (Log_)
       fmt::print(Log_, "{}\n", Record.toJson().dump());
     if (absl::GetFlag(FLAGS_print))
@@ -165,19 +169,19 @@
 
   void summarize() {
     std::ranges::sort(Totals_);
-    auto Percentile = [this](double Part) {
+    auto Percentile = [this](double Fraction) {
       if (Totals_.empty())
         return 0.0;
       auto Last = static_cast<double>(Totals_.size() - 1);
       return static_cast<double>(
-                 Totals_[static_cast<std::size_t>(Part * Last)]) /
+                 Totals_[static_cast<std::size_t>(Fraction * Last)]) /
              1000.0;
     };
-    std::chrono::duration<double> Took = steady_clock::now() - Started_;
+    std::chrono::duration<double> Elapsed = steady_clock::now() - Started_;
     Json Summary = {
         {"calls", Totals_.size()},
-        {"seconds", Took.count()},
-        {"perSecond", static_cast<double>(Totals_.size()) / Took.count()},
+        {"seconds", Elapsed.count()},
+        {"perSecond", static_cast<double>(Totals_.size()) / Elapsed.count()},
         {"p50Ms", Percentile(0.5)},
         {"p99Ms", Percentile(0.99)},
         {"outcomes", ByOutcome_}};
--- a/standins/Checker.cpp
+++ b/standins/Checker.cpp
@@ -13,18 +13,18 @@
 using Json = nlohmann::json;
 
 template <class Function>
-void forEachLine(const std::string &Path, Function Take) {
+void forEachLine(const std::string &Path, Function Visit) {
   std::ifstream File(Path);
   std::string Text;
   while (std::getline(File, Text)) {
     Json Line = Json::parse(Text, nullptr, false);
     if (Line.is_object())
-      Take(Line);
+      Visit(Line);
   }
 }
 
-/// What the engines did with one nonce, key or request.
-struct Seen {
+/// How often engines received, refused and ran one nonce, key or request.
+struct EngineCounts {
   std::size_t Received_ = 0;
   std::size_t Refused_ = 0;
   std::size_t Ran_ = 0;
@@ -38,81 +38,83 @@
 
 class Check {
 public:
-  Check(const std::vector<LedgerLine> &Ledger, CheckOptions Allowed)
-      : Allowed_(Allowed) {
+  Check(const std::vector<LedgerLine> &Ledger, CheckOptions Options)
+      : Options_(Options) {
     for (const LedgerLine &Line : Ledger) {
       ByNonce_[Line.Nonce_].count(Line);
-      Seen &Request = ByRequest_[{Line.Request_, Line.Nonce_}];
+      EngineCounts &Request = ByRequest_[{Line.Request_, Line.Nonce_}];
       Request.count(Line);
       if (Request.Received_ > 1)
-        SentTwice_.insert(Line.Nonce_);
+        ReceivedTwice_.insert(Line.Nonce_);
       if (Line.IdempotencyKey_.empty())
         continue;
-      Keyed_.insert(Line.Nonce_);
+      NoncesWithKey_.insert(Line.Nonce_);
       ByKey_[Line.IdempotencyKey_].count(Line);
     }
   }
 
   std::vector<std::string> run(const std::vector<CallRecord> &Calls) {
     for (const CallRecord &Call : Calls)
-      one(Call);
-    for (const auto &[Nonce, Did] : ByNonce_) {
-      // A key's repeats carry their first attempt's nonce, as requests of their
-      // own: those are judged by their key.
-      bool Repeated = !Keyed_.contains(Nonce) && Did.Received_ > 1;
-      if (Repeated || SentTwice_.contains(Nonce))
-        found(Nonce, "dispatched twice");
-      if (Did.Ran_ > 1)
-        found(Nonce, "ran twice");
+      checkCall(Call);
+    for (const auto &[Nonce, Counts] : ByNonce_) {
+      // A retry with an idempotency key is a request of its own that carries
+      // the nonce of the first attempt. Such requests are checked by key below.
+      bool Repeated = !NoncesWithKey_.contains(Nonce) && Counts.Received_ > 1;
+      if (Repeated || ReceivedTwice_.contains(Nonce))
+        addFinding(Nonce, "dispatched twice");
+      if (Counts.Ran_ > 1)
+        addFinding(Nonce, "ran twice");
     }
-    for (const auto &[Key, Did] : ByKey_) {
-      if (Did.Ran_ > 1)
-        found(Key, "non-idempotent request ran twice");
-      else if (Did.Received_ > Did.Refused_ + 1)
-        found(Key, "non-idempotent request dispatched twice");
+    for (const auto &[Key, Counts] : ByKey_) {
+      if (Counts.Ran_ > 1)
+        addFinding(Key, "non-idempotent request ran twice");
+      else if (Counts.Received_ > Counts.Refused_ + 1)
+        addFinding(Key, "non-idempotent request dispatched twice");
     }
     return std::move(Findings_);
   }
 
 private:
-  void one(const CallRecord &Call) {
-    const Seen &Did = ByNonce_[Call.Nonce_];
+  void checkCall(const CallRecord &Call) {
+    const EngineCounts &Counts = ByNonce_[Call.Nonce_];
     bool Answered = Call.Outcome_ == "answered";
-    if (Call.Outcome_ == "cut" && !Allowed_.DaemonsKilled_)
-      found(Call.Nonce_, "no final answer");
+    if (Call.Outcome_ == "cut" && !Options_.DaemonsKilled_)
+      addFinding(Call.Nonce_, "no final answer");
     if (Answered && !Call.Complete_)
-      found(Call.Nonce_, "truncated answer named whole");
+      addFinding(Call.Nonce_, "truncated answer reported as complete");
     if (Answered && !Call.Correct_)
-      found(Call.Nonce_, "wrong answer: another request's, or not whole");
-    if (Answered && Did.Ran_ == 0)
-      found(Call.Nonce_, "answered although no engine ran it");
-    // A repeat of a key may be told that it was not run while the first
-    // attempt with the same nonce ran: keys are judged by their runs.
-    bool Keyed = !Call.IdempotencyKey_.empty();
-    if (Call.Outcome_ == "not-run" && Did.Ran_ > 0 && !Keyed)
-      found(Call.Nonce_, "told not run, but it ran");
-    if (Call.Outcome_ == "not-run" && Did.Received_ > Did.Refused_ && !Keyed)
-      found(Call.Nonce_, "told not run, but an engine has it");
+      addFinding(Call.Nonce_, "wrong answer: another request's, or incomplete");
+    if (Answered && Counts.Ran_ == 0)
+      addFinding(Call.Nonce_, "answered although no engine ran it");
+    // A retry with an idempotency key may be answered "not-run" although the
+    // first attempt with the same nonce ran. Requests with a key are checked by
+    // the number of their runs instead.
+    bool HasKey = !Call.IdempotencyKey_.empty();
+    if (Call.Outcome_ == "not-run" && Counts.Ran_ > 0 && !HasKey)
+      addFinding(Call.Nonce_, "reported as not run, but it ran");
+    if (Call.Outcome_ == "not-run" && Counts.Received_ > Counts.Refused_ &&
+        !HasKey)
+      addFinding(Call.Nonce_, "reported as not run, but an engine accepted it");
     static const std::set<std::string> Known = {
         "answered", "not-run", "unknown", "partial", "cut", "unreachable"};
     if (!Known.contains(Call.Outcome_))
-      found(Call.Nonce_, "answer without an outcome");
+      addFinding(Call.Nonce_, "answer without an outcome");
     bool Overload = Call.Code_ >= 200 && Call.Code_ < 300;
     if (Overload && !Call.HasRetryAfter_)
-      found(Call.Nonce_, "given up without Retry-After");
+      addFinding(Call.Nonce_, "rejected for overload without Retry-After");
   }
 
-  void found(const std::string &Nonce, std::string_view Problem) {
+  void addFinding(const std::string &Nonce, std::string_view Problem) {
     Findings_.push_back(fmt::format("{}: {}", Nonce, Problem));
   }
 
-  CheckOptions Allowed_;
-  std::map<std::string, Seen> ByNonce_;
-  std::map<std::string, Seen> ByKey_;
-  std::map<std::pair<std::string, std::string>, Seen> ByRequest_;
-  /// Nonces of requests that engines received more than once.
-  std::set<std::string> SentTwice_;
-  std::set<std::string> Keyed_;
+  CheckOptions Options_;
+  std::map<std::string, EngineCounts> ByNonce_;
+  std::map<std::string, EngineCounts> ByKey_;
+  std::map<std::pair<std::string, std::string>, EngineCounts> ByRequest_;
+  /// Nonces of requests that engines received more than once under one id.
+  std::set<std::string> ReceivedTwice_;
+  std::set<std::string> NoncesWithKey_;
   std::vector<std::string> Findings_;
 };
 
@@ -120,8 +122,8 @@
 
 std::vector<std::string> check(const std::vector<CallRecord> &Calls,
                                const std::vector<LedgerLine> &Ledger,
-                               CheckOptions Allowed) {
-  return Check(Ledger, Allowed).run(Calls);
+                               CheckOptions Options) {
+  return Check(Ledger, Options).run(Calls);
 }
 
 std::vector<CallRecord> readCallerLog(const std::string &Path) {
--- a/standins/Checker.h
+++ b/standins/Checker.h
@@ -1,7 +1,8 @@
 #pragma once
 /// \file
-/// Compares callers' logs with engines' ledgers and finds every answer lost,
-/// doubled, crossed or truncated, and every run that must not have been.
+/// Compares callers' logs with engines' ledgers and finds answers that were
+/// lost, duplicated, truncated or belong to another request, and runs that must
+/// not have happened.
 
 #include "Caller.h"
 
@@ -20,17 +21,19 @@
 };
 
 struct CheckOptions {
-  /// Daemons were killed: callers may have lost the connection, and with it
-  /// the final answer.
+  /// Daemons were killed during the run, so callers may have lost their
+  /// connection before the final answer.
   bool DaemonsKilled_ = false;
 };
 
-/// \returns a line for each violation.
+/// \returns a line of text for each violation; none when the run was correct.
 std::vector<std::string> check(const std::vector<CallRecord> &Calls,
                                const std::vector<LedgerLine> &Ledger,
-                               CheckOptions Allowed);
+                               CheckOptions Options);
 
+/// Reads a log that callers wrote. Lines that are no JSON object are skipped.
 std::vector<CallRecord> readCallerLog(const std::string &Path);
+/// Reads an engine's ledger. Lines that are no JSON object are skipped.
 std::vector<LedgerLine> readLedger(const std::string &Path);
 
 } // namespace samphireshunt::standins
--- a/standins/CheckerMain.cpp
+++ b/standins/CheckerMain.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Compares callers' logs with engines' ledgers. Exit status 1 on a violation.
+/// Compares callers' logs with engines' ledgers and prints the violations. The
+/// exit status is 1 when there is a violation or no call was logged.
 
 #include "Checker.h"
 
@@ -13,7 +14,8 @@
 
 ABSL_FLAG(std::string, calls, "", "Callers' logs, separated by commas.");
 ABSL_FLAG(std::string, ledgers, "", "Ledgers, separated by commas.");
-ABSL_FLAG(bool, daemons_killed, false, "Callers may have been cut off.");
+ABSL_FLAG(bool, daemons_killed, false,
+          "Daemons were killed, so callers may have lost their connection.");
 
 namespace {
 
@@ -32,9 +34,9 @@
   std::vector<LedgerLine> Ledger;
   for (const std::string &Path : paths(absl::GetFlag(FLAGS_ledgers)))
     std::ranges::move(readLedger(Path), std::back_inserter(Ledger));
-  CheckOptions Allowed;
-  Allowed.DaemonsKilled_ = absl::GetFlag(FLAGS_daemons_killed);
-  auto Findings = check(Calls, Ledger, Allowed);
+  CheckOptions Options;
+  Options.DaemonsKilled_ = absl::GetFlag(FLAGS_daemons_killed);
+  auto Findings = check(Calls, Ledger, Options);
   for (const std::string &Finding : Findings)
     fmt::print("VIOLATION {}\n", Finding);
   fmt::print("{} calls, {} ledger lines, {} violations\n", Calls.size(),
--- a/standins/Ledger.cpp
+++ b/standins/Ledger.cpp
@@ -18,11 +18,11 @@
 }
 
 void Ledger::write(const std::string &Event, const std::string &Request,
-                   const std::string &Nonce, nlohmann::json More) {
+                   const std::string &Nonce, nlohmann::json Extra) {
   if (File_ < 0)
     return;
   nlohmann::json Line =
-      More.is_object() ? std::move(More) : nlohmann::json::object();
+      Extra.is_object() ? std::move(Extra) : nlohmann::json::object();
   Line["event"] = Event;
   Line["engine"] = Engine_;
   Line["request"] = Request;
