--- a/standins/ApplicationEngine.cpp
+++ b/standins/ApplicationEngine.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Stand-in for an application service. POST /faults switches its faults.
+/// Stand-in for an application service. POST /faults sets the faults that it
+/// injects.
 
 #include "AnswerText.h"
 #include "Ledger.h"
@@ -11,8 +12,8 @@
 
 ABSL_FLAG(std::string, address, "127.0.0.1:0", "IP:port to listen on.");
 ABSL_FLAG(std::string, name, "application", "The engine's name.");
-ABSL_FLAG(std::string, ledger, "", "File that the ledger is appended to.");
-ABSL_FLAG(int, service_ms, 5, "Time that a request takes, in ms.");
+ABSL_FLAG(std::string, ledger, "", "File to append the ledger to.");
+ABSL_FLAG(int, service_ms, 5, "Processing time of a request, in ms.");
 
 namespace samphireshunt::standins {
 
@@ -20,13 +21,13 @@
 
 using std::chrono::milliseconds;
 
-/// The next so many requests suffer a fault.
+/// Faults to inject. A count is the number of following requests affected.
 struct Faults {
-  int Silent_ = 0;  ///< Run, and never answered.
-  int Cut_ = 0;     ///< Run; the connection closes within the answer.
-  int Crossed_ = 0; ///< Answered with another request's id.
+  int Silent_ = 0;  ///< Run, but never answered.
+  int Cut_ = 0;     ///< Run; the connection closes in mid-answer.
+  int Crossed_ = 0; ///< The answer carries another request's id.
   int Refuse_ = 0;  ///< Refused before running.
-  int LateMs_ = 0;  ///< All answers come this much later.
+  int DelayMs_ = 0; ///< Delay of every answer.
   bool Leaving_ = false;
 };
 
@@ -53,7 +54,7 @@
   }
 
 private:
-  static bool take(int &Count) { return Count > 0 && Count-- > 0; }
+  static bool consumeFault(int &Count) { return Count > 0 && Count-- > 0; }
 
   Awaitable<void> run(HttpExchange &Exchange) {
     HttpRequest Request = Exchange.request();
@@ -61,28 +62,30 @@
     std::string Nonce = jsonBody(Request).value("nonce", "");
     if (Nonce.empty())
       Nonce = Request.queryParameter("nonce");
-    Json More = {{"key", Request.field("idempotency-key")}};
-    Ledger_.write("received", Id, Nonce, More);
-    if (take(Faults_.Refuse_)) {
-      Ledger_.write("refused", Id, Nonce, More);
+    Json Extra = {{"key", Request.field("idempotency-key")}};
+    Ledger_.write("received", Id, Nonce, Extra);
+    if (consumeFault(Faults_.Refuse_)) {
+      Ledger_.write("refused", Id, Nonce, Extra);
       co_await Exchange.respond(jsonAnswer(503, Json::object()));
       co_return;
     }
-    Ledger_.write("ran", Id, Nonce, More);
-    co_await sleepFor(ServiceTime_ + milliseconds(Faults_.LateMs_));
-    Ledger_.write("finished", Id, Nonce, More);
-    if (take(Faults_.Silent_))
+    Ledger_.write("ran", Id, Nonce, Extra);
+    co_await sleepFor(ServiceTime_ + milliseconds(Faults_.DelayMs_));
+    Ledger_.write("finished", Id, Nonce, Extra);
+    if (consumeFault(Faults_.Silent_))
       co_await sleepFor(std::chrono::hours(1));
     Json Body = {{"engine", Name_},
                  {"nonce", Nonce},
                  {"answer", applicationAnswer(Request.path(), Nonce)}};
     HttpResponse Response = jsonAnswer(200, Body);
-    Response.Fields_["x-request-id"] = take(Faults_.Crossed_) ? "other" : Id;
-    if (take(Faults_.Cut_)) {
-      std::string Half = Response.Body_.substr(0, Response.Body_.size() / 2);
+    Response.Fields_["x-request-id"] =
+        consumeFault(Faults_.Crossed_) ? "other" : Id;
+    if (consumeFault(Faults_.Cut_)) {
+      std::string FirstHalf =
+          Response.Body_.substr(0, Response.Body_.size() / 2);
       Response.Body_.clear();
       co_await Exchange.beginStream(std::move(Response));
-      co_await Exchange.writeChunk(std::move(Half));
+      co_await Exchange.writeChunk(std::move(FirstHalf));
       co_return Exchange.abort();
     }
     co_await Exchange.respond(std::move(Response));
@@ -94,7 +97,7 @@
     Faults_.Cut_ = Body.value("cut", 0);
     Faults_.Crossed_ = Body.value("crossed", 0);
     Faults_.Refuse_ = Body.value("refuse", 0);
-    Faults_.LateMs_ = Body.value("lateMs", 0);
+    Faults_.DelayMs_ = Body.value("lateMs", 0);
     Faults_.Leaving_ = Body.value("leaving", false);
     co_await Exchange.respond(jsonAnswer(200, Json::object()));
   }
--- a/standins/ModelEngine.cpp
+++ b/standins/ModelEngine.cpp
@@ -1,8 +1,9 @@
 /// \file
-/// Stand-in for a model engine: batches continuously in steps, caches prompt
-/// prefixes in limited memory, knows no tiers, admits requests as they come,
-/// resumes and cancels streams, and reports load and cache events late.
-/// POST /faults switches its faults.
+/// Stand-in for a model engine with continuous batching. It processes requests
+/// in steps, in order of arrival and without regard to tiers, caches prompt
+/// prefixes up to a limit, resumes and cancels streams, and reports its load
+/// with a delay, and the blocks evicted from its cache. POST /faults sets the
+/// faults that it injects.
 
 #include "AnswerText.h"
 #include "Ledger.h"
@@ -29,14 +30,15 @@
 
 ABSL_FLAG(std::string, address, "127.0.0.1:0", "IP:port to listen on.");
 ABSL_FLAG(std::string, name, "model", "The engine's name.");
-ABSL_FLAG(std::string, ledger, "", "File that the ledger is appended to.");
-ABSL_FLAG(double, step_ms, 5, "Time of one step with no prompt work, in ms.");
-ABSL_FLAG(int, max_batch, 8, "Requests in one step.");
-ABSL_FLAG(int, prefill_per_step, 512, "Prompt tokens worked on in one step.");
+ABSL_FLAG(std::string, ledger, "", "File to append the ledger to.");
+ABSL_FLAG(double, step_ms, 5, "Duration of a step without prefill, in ms.");
+ABSL_FLAG(int, max_batch, 8, "Maximum number of requests in one step.");
+ABSL_FLAG(int, prefill_per_step, 512,
+          "Maximum number of prompt tokens processed in one step.");
 ABSL_FLAG(double, prefill_us_per_token, 20,
-          "Time that a prompt token adds to its step, in microseconds.");
-ABSL_FLAG(int, cache_blocks, 256, "Blocks of prompts kept.");
-ABSL_FLAG(int, report_lag_ms, 300, "Age of the load that is reported.");
+          "Time that a prompt token adds to a step, in microseconds.");
+ABSL_FLAG(int, cache_blocks, 256, "Capacity of the prefix cache, in blocks.");
+ABSL_FLAG(int, report_lag_ms, 300, "Age of the reported load, in ms.");
 
 namespace samphireshunt::standins {
 
@@ -46,18 +48,20 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-/// The next so many streams suffer a fault after two events.
+/// Faults to inject. A count is the number of following requests affected;
+/// streams fail after two events.
 struct Faults {
-  double Slow_ = 1.0;
-  int Silent_ = 0;  ///< The connection stays open and no byte follows.
-  int Cut_ = 0;     ///< The connection closes.
-  int Crossed_ = 0; ///< An event of another request comes in between.
-  int Refuse_ = 0;  ///< Refused before running.
-  int Swallow_ = 0; ///< The request vanishes: not received, no answer.
-  bool NoResume_ = false;
+  double Slow_ = 1.0; ///< Factor by which steps take longer.
+  int Silent_ = 0;    ///< The connection stays open but sends nothing more.
+  int Cut_ = 0;       ///< The connection closes.
+  int Crossed_ = 0;   ///< An event of another request is inserted.
+  int Refuse_ = 0;    ///< Refused before running.
+  int Swallow_ = 0;   ///< The request is dropped: no ledger line, no answer.
+  bool NoResume_ = false; ///< Requests to resume a stream get 404.
   bool Leaving_ = false;
 };
 
+/// One request that the engine admitted, with the events of its answer.
 struct Run {
   std::string Id_;
   std::string Nonce_;
@@ -73,50 +77,53 @@
   bool Ended_ = false;
   bool Cancelled_ = false;
   int Readers_ = 0;
-  std::set<asio::steady_timer *> Waiting_;
+  std::set<asio::steady_timer *> WaitingReaders_;
 
-  void wake() const {
-    for (asio::steady_timer *Timer : Waiting_)
+  void wakeReaders() const {
+    for (asio::steady_timer *Timer : WaitingReaders_)
       Timer->cancel();
   }
 };
 
 using RunPointer = std::shared_ptr<Run>;
 
-/// The blocks that the engine keeps, the least recently used one first out.
+/// The cached prompt blocks, evicted in least recently used order.
 class BlockCache {
 public:
   explicit BlockCache(std::size_t MaxBlocks) : MaxBlocks_(MaxBlocks) {}
 
+  /// \returns the number of leading blocks of \p Prefix that are cached.
   std::size_t cached(const std::vector<std::uint64_t> &Prefix) const {
     auto Missing = std::ranges::find_if(Prefix, [this](std::uint64_t Block) {
-      return !Where_.contains(Block);
+      return !Index_.contains(Block);
     });
     return static_cast<std::size_t>(Missing - Prefix.begin());
   }
+  /// Adds the blocks of \p Prefix or marks them as used.
   /// \returns the blocks evicted.
   std::vector<std::uint64_t> insert(const std::vector<std::uint64_t> &Prefix) {
     for (auto Block = Prefix.rbegin(); Block != Prefix.rend(); ++Block) {
-      if (auto Known = Where_.find(*Block); Known != Where_.end()) {
-        Order_.splice(Order_.end(), Order_, Known->second);
+      if (auto Known = Index_.find(*Block); Known != Index_.end()) {
+        LeastRecentFirst_.splice(LeastRecentFirst_.end(), LeastRecentFirst_,
+                                 Known->second);
         continue;
       }
-      Order_.push_back(*Block);
-      Where_[*Block] = std::prev(Order_.end());
+      LeastRecentFirst_.push_back(*Block);
+      Index_[*Block] = std::prev(LeastRecentFirst_.end());
     }
     std::vector<std::uint64_t> Evicted;
-    while (Order_.size() > MaxBlocks_) {
-      Evicted.push_back(Order_.front());
-      Where_.erase(Order_.front());
-      Order_.pop_front();
+    while (LeastRecentFirst_.size() > MaxBlocks_) {
+      Evicted.push_back(LeastRecentFirst_.front());
+      Index_.erase(LeastRecentFirst_.front());
+      LeastRecentFirst_.pop_front();
     }
     return Evicted;
   }
 
 private:
   std::size_t MaxBlocks_;
-  std::list<std::uint64_t> Order_;
-  std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> Where_;
+  std::list<std::uint64_t> LeastRecentFirst_;
+  std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> Index_;
 };
 
 class ModelEngine {
@@ -148,19 +155,19 @@
 private:
   static constexpr std::string_view RequestPath = "/v1/requests/";
 
-  static bool take(int &Count) { return Count > 0 && Count-- > 0; }
+  static bool consumeFault(int &Count) { return Count > 0 && Count-- > 0; }
 
   Awaitable<void> complete(HttpExchange &Exchange) {
     std::string Id = Exchange.request().field("x-request-id");
     Json Body = jsonBody(Exchange.request());
-    if (take(Faults_.Swallow_)) {
+    if (consumeFault(Faults_.Swallow_)) {
       co_await sleepFor(std::chrono::hours(1));
       co_return;
     }
     std::string Nonce =
         Body.value("metadata", Json::object()).value("nonce", "");
     Ledger_.write("received", Id, Nonce);
-    bool Refuse = take(Faults_.Refuse_) || Refused_.contains(Id);
+    bool Refuse = consumeFault(Faults_.Refuse_) || Refused_.contains(Id);
     if (Refuse) {
       Ledger_.write("refused", Id, Nonce);
       co_await Exchange.respond(jsonAnswer(503, Json::object()));
@@ -183,7 +190,7 @@
     Added->Prefix_ = prefixHashes(Added->Prompt_);
     Runs_[Id] = Added;
     Admitted_.push_back(Id);
-    forgetOldRuns();
+    dropOldRuns();
     Queue_.push_back(Added);
     if (!Stepping_) {
       Stepping_ = true;
@@ -193,10 +200,11 @@
     return Added;
   }
 
-  /// Ended runs can be resumed for a while, not for ever.
-  void forgetOldRuns() {
-    constexpr std::size_t KeptRuns = 4000;
-    while (Admitted_.size() > KeptRuns) {
+  /// Removes the oldest ended runs, so that those that can be resumed don't
+  /// grow without bound.
+  void dropOldRuns() {
+    constexpr std::size_t MaxRuns = 4000;
+    while (Admitted_.size() > MaxRuns) {
       auto Oldest = Runs_.find(Admitted_.front());
       if (Oldest != Runs_.end() && !Oldest->second->Ended_)
         break;
@@ -206,15 +214,15 @@
     }
   }
 
-  /// Runs steps while there is work.
+  /// Runs steps while requests are queued or in the batch.
   Awaitable<void> stepLoop() {
     asio::steady_timer Timer(Context_);
     auto Next = steady_clock::now();
     while (!Queue_.empty() || !Batch_.empty()) {
       fillBatch();
-      std::int64_t Worked = prefill();
+      std::int64_t PrefilledTokens = prefill();
       double Millis = absl::GetFlag(FLAGS_step_ms) +
-                      static_cast<double>(Worked) *
+                      static_cast<double>(PrefilledTokens) *
                           absl::GetFlag(FLAGS_prefill_us_per_token) / 1000.0;
       auto Length =
           std::chrono::duration<double, std::milli>(Millis * Faults_.Slow_);
@@ -238,23 +246,24 @@
       Next->PrefillLeft_ =
           std::max<std::int64_t>(1, Next->PromptTokens_ - Cached * BlockTokens);
       Next->Started_ = true;
-      Json More = {{"promptTokens", Next->PromptTokens_},
-                   {"cachedTokens", Next->PromptTokens_ - Next->PrefillLeft_}};
-      Ledger_.write("ran", Next->Id_, Next->Nonce_, More);
+      Json Extra = {{"promptTokens", Next->PromptTokens_},
+                    {"cachedTokens", Next->PromptTokens_ - Next->PrefillLeft_}};
+      Ledger_.write("ran", Next->Id_, Next->Nonce_, Extra);
       Batch_.push_back(std::move(Next));
     }
   }
 
   std::int64_t prefill() {
     std::int64_t Budget = absl::GetFlag(FLAGS_prefill_per_step);
-    std::int64_t Worked = 0;
+    std::int64_t PrefilledTokens = 0;
     for (const RunPointer &Active : Batch_) {
-      std::int64_t Part = std::min(Active->PrefillLeft_, Budget - Worked);
-      Active->PrefillLeft_ -= Part;
-      Active->PrefillDone_ += Part;
-      Worked += Part;
+      std::int64_t Tokens =
+          std::min(Active->PrefillLeft_, Budget - PrefilledTokens);
+      Active->PrefillLeft_ -= Tokens;
+      Active->PrefillDone_ += Tokens;
+      PrefilledTokens += Tokens;
     }
-    return Worked;
+    return PrefilledTokens;
   }
 
   void decode() {
@@ -262,17 +271,17 @@
       if (Active->Ended_ || Active->PrefillLeft_ > 0)
         continue;
       if (Active->Events_.empty())
-        keepBlocks(*Active);
+        cacheBlocks(*Active);
       produce(*Active);
     }
     std::erase_if(Batch_, [](const RunPointer &Run) { return Run->Ended_; });
   }
 
-  void keepBlocks(const Run &Active) {
+  void cacheBlocks(const Run &Active) {
     for (std::uint64_t Block : Cache_.insert(Active.Prefix_))
       CacheEvents_.push_back(Block);
-    constexpr std::size_t KeptEvents = 1000;
-    while (CacheEvents_.size() > KeptEvents) {
+    constexpr std::size_t MaxCacheEvents = 1000;
+    while (CacheEvents_.size() > MaxCacheEvents) {
       CacheEvents_.pop_front();
       ++FirstEvent_;
     }
@@ -296,10 +305,10 @@
       Ledger_.write("finished", Active.Id_, Active.Nonce_,
                     {{"prefill", Active.PrefillDone_}});
     }
-    Active.wake();
+    Active.wakeReaders();
   }
 
-  /// Sends events from \p From on, as they come.
+  /// Sends the events of \p Source from index \p From on as they are produced.
   Awaitable<void> stream(HttpExchange &Exchange, RunPointer Source,
                          std::size_t From) {
     HttpResponse Head;
@@ -307,49 +316,50 @@
     Head.Fields_["x-request-id"] = Source->Id_;
     ++Source->Readers_;
     auto Timer = std::make_shared<asio::steady_timer>(Context_);
-    Source->Waiting_.insert(Timer.get());
-    bool Gone = !co_await Exchange.beginStream(std::move(Head));
-    Exchange.onCallerLeft([Timer, &Gone] {
-      Gone = true;
+    Source->WaitingReaders_.insert(Timer.get());
+    bool CallerLeft = !co_await Exchange.beginStream(std::move(Head));
+    Exchange.onCallerLeft([Timer, &CallerLeft] {
+      CallerLeft = true;
       Timer->cancel();
     });
     std::size_t Next = From;
-    bool Whole = false;
-    while (!Gone && !Whole && !Source->Cancelled_) {
+    bool Complete = false;
+    while (!CallerLeft && !Complete && !Source->Cancelled_) {
       if (Next < Source->Events_.size()) {
-        if (Next == From + 2 && co_await suffer(Exchange, *Source))
+        if (Next == From + 2 && co_await injectFault(Exchange, *Source))
           break;
         std::string Text = fmt::format("id: {}:{}\ndata: {}\n\n", Source->Id_,
                                        Next, Source->Events_[Next]);
-        Whole = Source->Events_[Next] == "[DONE]";
+        Complete = Source->Events_[Next] == "[DONE]";
         ++Next;
-        Gone = !co_await Exchange.writeChunk(std::move(Text));
+        CallerLeft = !co_await Exchange.writeChunk(std::move(Text));
         continue;
       }
       Timer->expires_after(std::chrono::hours(1));
       co_await Timer->async_wait(asio::as_tuple(asio::use_awaitable));
     }
     Exchange.onCallerLeft(nullptr);
-    Source->Waiting_.erase(Timer.get());
+    Source->WaitingReaders_.erase(Timer.get());
     --Source->Readers_;
-    if (Whole && !Gone)
+    if (Complete && !CallerLeft)
       co_await Exchange.endStream();
     else
       Exchange.abort();
   }
 
-  /// \returns true when the stream's connection is to end.
-  Awaitable<bool> suffer(HttpExchange &Exchange, const Run &Source) {
-    if (take(Faults_.Silent_)) {
+  /// Injects a due fault into a stream.
+  /// \returns true when the stream's connection must be closed.
+  Awaitable<bool> injectFault(HttpExchange &Exchange, const Run &Source) {
+    if (consumeFault(Faults_.Silent_)) {
       co_await sleepFor(std::chrono::minutes(1));
       co_return true;
     }
-    if (take(Faults_.Crossed_)) {
+    if (consumeFault(Faults_.Crossed_)) {
       std::string Other = "id: other:2\ndata: {}\n\n";
       co_await Exchange.writeChunk(std::move(Other));
     }
     (void)Source;
-    co_return take(Faults_.Cut_);
+    co_return consumeFault(Faults_.Cut_);
   }
 
   static std::string idOf(const HttpRequest &Request) {
@@ -374,7 +384,7 @@
     co_await stream(Exchange, Source, From);
   }
 
-  /// Ends a run. An id that was never seen is refused from now on.
+  /// Cancels a run. An id that was never received is refused from now on.
   Awaitable<void> cancel(HttpExchange &Exchange) {
     std::string Id = idOf(Exchange.request());
     bool OnlyDetached =
@@ -396,7 +406,7 @@
       Ledger_.write("cancelled", Id, Target.Nonce_,
                     {{"prefill", Target.PrefillDone_}});
       std::erase(Batch_, Found->second);
-      Target.wake();
+      Target.wakeReaders();
     }
     Json Body = {{"state", State}};
     co_await Exchange.respond(jsonAnswer(200, Body));
--- a/standins/Platform.cpp
+++ b/standins/Platform.cpp
@@ -1,6 +1,7 @@
 /// \file
-/// Stand-in for the platform: a key-value service with compare-and-swap,
-/// expiry and watches, and a list of VMs. POST /faults switches its faults.
+/// Stand-in for the platform: a key-value store with compare-and-swap, expiry
+/// and watches, and a list of VMs. POST /faults sets the faults that it
+/// injects.
 
 #include "StandinMain.h"
 
@@ -33,15 +34,20 @@
 };
 
 struct Faults {
+  /// Connections are closed without an answer.
   bool Outage_ = false;
-  /// Calls are taken and never answered.
+  /// Calls are accepted but not answered.
   bool Silent_ = false;
+  /// Delay of every call.
   int SlowMs_ = 0;
-  /// Writes that take effect although their answer never returns.
+  /// The number of following writes that take effect but are not
+  /// answered.
   int LoseWriteAnswers_ = 0;
+  /// Watches return no changes.
   bool StallWatches_ = false;
-  /// Reads see each key's value before its last write.
+  /// Reads return each key's value before its last write.
   bool StaleReads_ = false;
+  /// The list of VMs stays as it was when the fault began.
   bool FrozenVmList_ = false;
 };
 
@@ -73,7 +79,7 @@
     else if (Path == "/v1/watch")
       co_await watch(Exchange);
     else if (Path == "/v1/vms")
-      co_await Exchange.respond(jsonAnswer(200, shownVms()));
+      co_await Exchange.respond(jsonAnswer(200, visibleVms()));
     else
       co_await Exchange.respond(jsonAnswer(404, Json::object()));
   }
@@ -81,8 +87,8 @@
 private:
   static constexpr std::string_view KeyPath = "/v1/kv/";
 
-  static std::uint64_t number(const HttpRequest &Request,
-                              std::string_view Name) {
+  static std::uint64_t numberParameter(const HttpRequest &Request,
+                                       std::string_view Name) {
     std::string Text = Request.queryParameter(Name);
     std::uint64_t Value = 0;
     std::from_chars(Text.data(), Text.data() + Text.size(), Value);
@@ -133,10 +139,10 @@
     const HttpRequest &Request = Exchange.request();
     std::string Key(Request.path().substr(KeyPath.size()));
     auto Found = Entries_.find(Key);
-    std::uint64_t Present =
+    std::uint64_t CurrentRevision =
         Found == Entries_.end() ? 0 : Found->second.Revision_;
-    if (number(Request, "expect") != Present) {
-      Json Conflict = {{"revision", Present}};
+    if (numberParameter(Request, "expect") != CurrentRevision) {
+      Json Conflict = {{"revision", CurrentRevision}};
       co_await Exchange.respond(jsonAnswer(409, Conflict));
       co_return;
     }
@@ -147,7 +153,7 @@
       Entries_.erase(Key);
     } else {
       Entry Written{Request.Body_, Revision_, steady_clock::time_point::max()};
-      if (auto Ttl = number(Request, "ttlMs"); Ttl > 0)
+      if (auto Ttl = numberParameter(Request, "ttlMs"); Ttl > 0)
         Written.Expires_ = steady_clock::now() + milliseconds(Ttl);
       Entries_[Key] = std::move(Written);
     }
@@ -172,8 +178,9 @@
     ++Reads_;
     const HttpRequest &Request = Exchange.request();
     std::string Prefix = Request.queryParameter("prefix");
-    std::uint64_t After = number(Request, "after");
-    auto Until = steady_clock::now() + milliseconds(number(Request, "waitMs"));
+    std::uint64_t After = numberParameter(Request, "after");
+    auto Until =
+        steady_clock::now() + milliseconds(numberParameter(Request, "waitMs"));
     asio::steady_timer Timer(co_await asio::this_coro::executor);
     Json Changes = entriesAfter(Prefix, After);
     Watches_.insert(&Timer);
@@ -198,7 +205,7 @@
       Timer->cancel();
   }
 
-  Json shownVms() const { return Faults_.FrozenVmList_ ? FrozenVms_ : Vms_; }
+  Json visibleVms() const { return Faults_.FrozenVmList_ ? FrozenVms_ : Vms_; }
 
   Awaitable<void> setVms(HttpExchange &Exchange) {
     Vms_ = jsonBody(Exchange.request());
--- a/standins/Relay.cpp
+++ b/standins/Relay.cpp
@@ -1,7 +1,8 @@
 /// \file
-/// A network between two processes that can be cut: relays TCP connections and
-/// UDP datagrams to a target. POST /faults with mode "pass", "silent" (what
-/// comes is dropped, connections stay open) or "refuse" (connections close).
+/// Simulates a network between two processes that can fail: relays TCP
+/// connections and UDP datagrams to a target. POST /faults sets the mode:
+/// "pass" relays, "silent" drops all data but leaves connections open, and
+/// "refuse" closes connections.
 
 #include "Process/Membership/MembershipService.h"
 #include "Process/Membership/PeerPort.h"
@@ -22,9 +23,10 @@
 #include <map>
 #include <set>
 
-ABSL_FLAG(std::string, address, "127.0.0.1:0", "IP:port for /faults.");
-ABSL_FLAG(std::string, listen, "127.0.0.1:0", "IP:port that is relayed.");
-ABSL_FLAG(std::string, target, "", "IP:port that it goes to.");
+ABSL_FLAG(std::string, address, "127.0.0.1:0", "IP:port to serve /faults on.");
+ABSL_FLAG(std::string, listen, "127.0.0.1:0",
+          "IP:port to relay from, TCP and UDP.");
+ABSL_FLAG(std::string, target, "", "IP:port to relay to.");
 
 namespace samphireshunt::standins {
 
@@ -48,7 +50,7 @@
       return false;
     if (auto Target = parseEndpoint(absl::GetFlag(FLAGS_target)))
       Target_ = *Target;
-    if (auto Opened = open(*Listen); !Opened) {
+    if (auto Opened = openPorts(*Listen); !Opened) {
       fmt::print(stderr, "relay: {}\n", Opened.error().Detail_);
       return false;
     }
@@ -56,7 +58,7 @@
                  {"address", formatEndpoint(Acceptor_.local_endpoint())}};
     fmt::print("{}\n", Line.dump());
     auto Accept = [this]() { return accept(); };
-    auto Receive = [this]() { return receive(); };
+    auto Receive = [this]() { return receiveDatagrams(); };
     asio::co_spawn(Context_, std::move(Accept), asio::detached);
     asio::co_spawn(Context_, std::move(Receive), asio::detached);
     return true;
@@ -78,7 +80,7 @@
 private:
   using SocketPointer = std::shared_ptr<Tcp::socket>;
 
-  Result<void> open(const Endpoint &Listen) {
+  Result<void> openPorts(const Endpoint &Listen) {
     auto OpenStreams = [&]() -> Result<Endpoint> {
       Acceptor_ = Tcp::acceptor(Context_, Listen);
       return Acceptor_.local_endpoint();
@@ -117,7 +119,7 @@
     if (Mode_ == Mode::Refuse)
       co_return;
     Sockets_.insert(Caller);
-    // Connections made in silence reach nobody, but stay open.
+    // A connection accepted in silent mode stays open but is never relayed.
     if (Mode_ == Mode::Silent)
       co_return;
     auto Server = std::make_shared<Tcp::socket>(Context_);
@@ -128,22 +130,26 @@
       co_return;
     }
     Sockets_.insert(Server);
-    auto Back = [this, Server, Caller]() { return pump(Server, Caller); };
-    asio::co_spawn(Context_, std::move(Back), asio::detached);
-    co_await pump(Caller, Server);
+    auto Backward = [this, Server, Caller]() {
+      return forward(Server, Caller);
+    };
+    asio::co_spawn(Context_, std::move(Backward), asio::detached);
+    co_await forward(Caller, Server);
   }
 
-  Awaitable<void> pump(SocketPointer From, SocketPointer To) {
-    std::array<char, 16384> Space;
+  /// Copies data in one direction until a connection closes; drops the data
+  /// while the mode is not "pass".
+  Awaitable<void> forward(SocketPointer From, SocketPointer To) {
+    std::array<char, 16384> Buffer;
     while (true) {
       auto [Error, Count] = co_await From->async_read_some(
-          asio::buffer(Space), asio::as_tuple(asio::use_awaitable));
+          asio::buffer(Buffer), asio::as_tuple(asio::use_awaitable));
       if (Error)
         break;
       if (Mode_ != Mode::Pass)
         continue;
       auto [WriteError, Written] =
-          co_await asio::async_write(*To, asio::buffer(Space.data(), Count),
+          co_await asio::async_write(*To, asio::buffer(Buffer.data(), Count),
                                      asio::as_tuple(asio::use_awaitable));
       if (WriteError)
         break;
@@ -157,14 +163,14 @@
     Sockets_.erase(To);
   }
 
-  /// Datagrams go to the target from a socket for each sender, so that the
-  /// target's answers find their way back.
-  Awaitable<void> receive() {
-    std::array<char, 65536> Space;
+  /// Relays datagrams to the target. Each sender gets a socket of its own, so
+  /// that the target's replies can be returned to it.
+  Awaitable<void> receiveDatagrams() {
+    std::array<char, 65536> Buffer;
     while (true) {
       Udp::endpoint Sender;
       auto [Error, Count] = co_await Datagrams_.async_receive_from(
-          asio::buffer(Space), Sender, asio::as_tuple(asio::use_awaitable));
+          asio::buffer(Buffer), Sender, asio::as_tuple(asio::use_awaitable));
       if (Error)
         break;
       if (Mode_ != Mode::Pass)
@@ -172,28 +178,32 @@
       auto &Out = BySender_[Sender];
       if (!Out) {
         Out = std::make_shared<Udp::socket>(Context_, Udp::v4());
-        auto Answer = [this, Out, Sender]() { return answer(Out, Sender); };
+        auto Answer = [this, Out, Sender]() {
+          return returnReplies(Out, Sender);
+        };
         asio::co_spawn(Context_, std::move(Answer), asio::detached);
       }
       error_code Ignored;
-      Out->send_to(asio::buffer(Space.data(), Count),
+      Out->send_to(asio::buffer(Buffer.data(), Count),
                    Udp::endpoint(Target_.address(), Target_.port()), 0,
                    Ignored);
     }
   }
 
-  Awaitable<void> answer(std::shared_ptr<Udp::socket> Out,
-                         Udp::endpoint Sender) {
-    std::array<char, 65536> Space;
+  /// Returns the target's replies on \p Out to \p Sender.
+  Awaitable<void> returnReplies(std::shared_ptr<Udp::socket> Out,
+                                Udp::endpoint Sender) {
+    std::array<char, 65536> Buffer;
     while (true) {
       auto [Error, Count] = co_await Out->async_receive(
-          asio::buffer(Space), asio::as_tuple(asio::use_awaitable));
+          asio::buffer(Buffer), asio::as_tuple(asio::use_awaitable));
       if (Error)
         continue;
       if (Mode_ != Mode::Pass)
         continue;
       error_code Ignored;
-      Datagrams_.send_to(asio::buffer(Space.data(), Count), Sender, 0, Ignored);
+      Datagrams_.send_to(asio::buffer(Buffer.data(), Count), Sender, 0,
+                         Ignored);
     }
   }
 
--- a/standins/StandinMain.h
+++ b/standins/StandinMain.h
@@ -1,7 +1,7 @@
 #pragma once
 /// \file
-/// What the stand-ins have in common: one thread, one HTTP address, a line
-/// that tells the address, and an end at SIGTERM.
+/// What all stand-ins share: they run on one thread, serve one HTTP address,
+/// print that address as a line on standard output, and end at SIGTERM.
 
 #include "Connection/Http.h"
 
@@ -15,17 +15,17 @@
 
 using Json = nlohmann::json;
 
-/// Serves \p Handler on \p Address until SIGTERM. \returns the exit status.
+/// Serves \p Handler on \p Address until SIGTERM or SIGINT.
+/// \returns the exit status: 2 when the address is invalid or can't be bound.
 int serve(boost::asio::io_context &Context, const std::string &Address,
           HttpHandler Handler);
 
-/// Waits on the caller's executor.
+/// Suspends the calling coroutine for \p Time.
 Awaitable<void> sleepFor(std::chrono::milliseconds Time);
 
-/// A JSON answer.
 HttpResponse jsonAnswer(int Status, const Json &Body);
 
-/// The body as a JSON object; an empty one when it is none.
+/// \returns the body as a JSON object, empty when the body is not an object.
 Json jsonBody(const HttpRequest &Request);
 
 } // namespace samphireshunt::standins
