--- a/Bench/AdoptionCost.cpp
+++ b/Bench/AdoptionCost.cpp
@@ -1,6 +1,7 @@
 /// \file
-/// What a configuration costs the thread that takes it in, by its number of
-/// routes: microseconds of processor time and bytes allocated, step by step.
+/// Measures what a configuration costs the thread that applies it, by the
+/// number of routes: processor time in microseconds and allocated bytes for
+/// each step.
 
 #include "Common/Hash.h"
 #include "Process/Configuration/ChangeLog.h"
@@ -41,7 +42,7 @@
 
 constexpr int CustomerCount = 16;
 constexpr int KeysPerCustomer = 2;
-/// The engines and application servers of a middle-sized deployment.
+/// Numbers of engines and application servers of a medium-sized deployment.
 constexpr int EngineCount = 112;
 constexpr int ApplicationCount = 6;
 constexpr const char *Host = "front.example";
@@ -72,7 +73,7 @@
   return Text;
 }
 
-/// A configuration as the platform holds it.
+/// \returns a configuration in the format that the platform stores.
 std::string configurationText(std::int64_t Routes) {
   return fmt::format(
       R"({{"version":7,"routes":[{}],"services":[{{"name":"engines",)"
@@ -107,7 +108,8 @@
   return *Read;
 }
 
-/// Counts what is allocated in the loop of one benchmark.
+/// Counts the allocations during the loop of one benchmark, and reports their
+/// average for each iteration.
 class AllocationCount {
 public:
   explicit AllocationCount(benchmark::State &State) : State_(State) {}
@@ -139,7 +141,7 @@
     benchmark::DoNotOptimize(read(Text));
 }
 
-/// A version that differs from the last one in one route.
+/// Reads a version that differs from the previous one in one route.
 void readChanged(benchmark::State &State) {
   std::string Texts[] = {configurationText(State.range(0)),
                          configurationText(State.range(0) - 1)};
@@ -151,7 +153,7 @@
     benchmark::DoNotOptimize(Reader.read(Texts[Number++ % 2]));
 }
 
-/// A version that adds so many routes to the last one.
+/// Reads a version that adds routes to the previous one.
 void readGrown(benchmark::State &State) {
   constexpr std::int64_t Added = 1400;
   std::string Before = configurationText(State.range(0) - Added);
@@ -195,8 +197,9 @@
     Store.setServers(Service, All);
 }
 
-/// The last step of an adoption and of a change of servers: the cells of a
-/// keeper that has all of them, by the daemons and the engines.
+/// Updates the cells of a keeper that schedules all of them, by the number of
+/// daemons and of engines. This is the last step of adopting a configuration
+/// and of changing servers.
 void refreshKeeper(benchmark::State &State) {
   constexpr std::int64_t Routes = 100;
   ReadConfiguration Read = read(configurationText(Routes));
@@ -231,7 +234,7 @@
     Keeper.refresh();
 }
 
-/// What a request looks up.
+/// Finds the route of a request.
 void findRoute(benchmark::State &State) {
   ReadConfiguration Read = read(configurationText(State.range(0)));
   std::string Path = fmt::format("/idle/{:05}/x", State.range(0) / 2);
@@ -240,7 +243,7 @@
     benchmark::DoNotOptimize(Read.Document_->route(Path, Host));
 }
 
-/// What is kept of a configuration for other daemons.
+/// Stores a configuration in the change log from which followers are served.
 void noteForFollowers(benchmark::State &State) {
   KeyValue Entry;
   Entry.Key_ = "configuration";
@@ -254,7 +257,7 @@
   }
 }
 
-/// An answer to one follower, before it is encoded.
+/// Collects the changes for one follower, without encoding them.
 void tellFollower(benchmark::State &State) {
   KeyValue Entry;
   Entry.Key_ = "configuration";
--- a/Bench/Counts.h
+++ b/Bench/Counts.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// The sizes of fleets that a measurement is asked for.
+/// Reads fleet sizes from the command line of a measurement.
 
 #include <charconv>
 #include <cstddef>
@@ -9,9 +9,10 @@
 
 namespace samphireshunt {
 
-/// The arguments of a program as numbers; \p Usual where there are none.
+/// \returns the arguments of a program as numbers, or \p Default when there are
+/// none. An argument that is not a number counts as 0.
 inline std::vector<std::size_t> countsFrom(int ArgumentCount, char **Arguments,
-                                           std::vector<std::size_t> Usual) {
+                                           std::vector<std::size_t> Default) {
   std::vector<std::size_t> Counts;
   for (int Index = 1; Index < ArgumentCount; ++Index) {
     std::string_view Text(Arguments[Index]);
@@ -19,7 +20,7 @@
     std::from_chars(Text.data(), Text.data() + Text.size(), Count);
     Counts.push_back(Count);
   }
-  return Counts.empty() ? Usual : Counts;
+  return Counts.empty() ? Default : Counts;
 }
 
 } // namespace samphireshunt
--- a/Bench/Figures.cpp
+++ b/Bench/Figures.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-double percentile(std::vector<double> Values, double Part) {
+double percentile(std::vector<double> Values, double Fraction) {
   if (Values.empty())
     return 0;
   std::ranges::sort(Values);
   auto Last = static_cast<double>(Values.size() - 1);
-  return Values[static_cast<std::size_t>(Part * Last)];
+  return Values[static_cast<std::size_t>(Fraction * Last)];
 }
 
 bool isGood(const MeasuredCall &Call) {
@@ -49,14 +49,15 @@
   return Built;
 }
 
-/// Prompt work by what became of it. A request's own tokens are needed when it
-/// was answered well; a file's tokens are needed once in the run.
+/// Adds up the prefilled tokens and how many of them were wasted. The tokens of
+/// a request's own prompt are useful when its call was good; the tokens of a
+/// shared file are useful once in the run.
 void addPrefill(RunFigures &Run, const std::vector<MeasuredCall> &Calls,
                 const std::string &Folder) {
   std::map<std::string, const MeasuredCall *> ByNonce;
   for (const MeasuredCall &Call : Calls)
     ByNonce[Call.Record_.Nonce_] = &Call;
-  std::map<int, double> FileWork;
+  std::map<int, double> FilePrefill;
   for (const auto &File : std::filesystem::directory_iterator(Folder)) {
     if (File.path().extension() != ".ledger")
       continue;
@@ -64,24 +65,24 @@
     std::string Text;
     while (std::getline(Lines, Text)) {
       Json Line = Json::parse(Text, nullptr, false);
-      auto Known = ByNonce.find(Line.value("nonce", ""));
-      if (!Line.contains("prefill") || Known == ByNonce.end())
+      auto Found = ByNonce.find(Line.value("nonce", ""));
+      if (!Line.contains("prefill") || Found == ByNonce.end())
         continue;
-      const MeasuredCall &Call = *Known->second;
-      double Worked = Line["prefill"].get<double>();
-      Run.PrefillTokens_ += Worked;
-      double Own = std::min<double>(Worked, Call.OwnTokens_);
+      const MeasuredCall &Call = *Found->second;
+      double Prefilled = Line["prefill"].get<double>();
+      Run.PrefillTokens_ += Prefilled;
+      double Own = std::min<double>(Prefilled, Call.OwnTokens_);
       if (!isGood(Call)) {
-        Run.WastedTokens_ += Worked;
+        Run.WastedTokens_ += Prefilled;
         continue;
       }
       if (Call.File_ >= 0)
-        FileWork[Call.File_] += Worked - Own;
+        FilePrefill[Call.File_] += Prefilled - Own;
     }
   }
-  for (const auto &[File, Worked] : FileWork) {
-    auto Reader = std::ranges::find(Calls, File, &MeasuredCall::File_);
-    Run.WastedTokens_ += std::max(0.0, Worked - Reader->FileTokens_);
+  for (const auto &[File, Prefilled] : FilePrefill) {
+    auto User = std::ranges::find(Calls, File, &MeasuredCall::File_);
+    Run.WastedTokens_ += std::max(0.0, Prefilled - User->FileTokens_);
   }
 }
 
--- a/Bench/Figures.h
+++ b/Bench/Figures.h
@@ -1,6 +1,7 @@
 #pragma once
 /// \file
-/// Figures of one run: goodput by tier, times, what was shed, wasted prefill.
+/// Figures of one run: goodput and latency by tier and customer, the codes of
+/// calls that were not good, and wasted prefill.
 
 #include "Bench/Scenario.h"
 
@@ -10,33 +11,35 @@
 
 namespace samphireshunt::bench {
 
-/// A call with what the scenario knows of it.
+/// A call with the properties that the scenario gave it.
 struct MeasuredCall {
   tests::CallRecord Record_;
   std::string Customer_;
   std::string Tier_;
   milliseconds Deadline_{0};
-  milliseconds Started_{0}; ///< Since the run's start.
-  int File_ = -1;
+  milliseconds Started_{0}; ///< Since the start of the run.
+  int File_ = -1; ///< Shared file that the prompt starts with; -1: none.
   int FileTokens_ = 0;
-  int OwnTokens_ = 0; ///< Prompt tokens that no other request has.
+  int OwnTokens_ = 0; ///< Prompt tokens that no other request shares.
 };
 
+/// Figures of the calls of one tier or one customer.
 struct TierFigures {
   std::size_t Asked_ = 0;
-  std::size_t Good_ = 0; ///< Complete, correct, within the deadline.
+  std::size_t Good_ = 0; ///< Answered correctly within the deadline.
   double GoodPerSecond_ = 0;
   double FirstTokenP50Ms_ = 0;
   double FirstTokenP95Ms_ = 0;
-  double GapP95Ms_ = 0; ///< Longest gap between tokens of an answer.
+  double GapP95Ms_ = 0; ///< Of the longest gap between tokens of an answer.
 };
 
 struct RunFigures {
   std::map<std::string, TierFigures> Tiers_;
   std::map<std::string, TierFigures> Customers_;
   std::map<int, std::size_t> ByCode_;
-  double PrefillTokens_ = 0; ///< Worked on in all.
-  double WastedTokens_ = 0;  ///< Discarded, or repeated although known.
+  double PrefillTokens_ = 0; ///< Prefilled in total.
+  /// Prefilled for calls that were not good, or again for the same shared file.
+  double WastedTokens_ = 0;
   std::size_t Violations_ = 0;
 
   double wastedPart() const {
@@ -44,7 +47,8 @@
   }
 };
 
-/// Works out the figures. \p Folder holds the engines' ledgers.
+/// Computes the figures of a run that took \p Length. \p Folder contains the
+/// engines' ledgers.
 RunFigures figures(const std::vector<MeasuredCall> &Calls,
                    const std::string &Folder, milliseconds Length);
 
--- a/Bench/Measure.cpp
+++ b/Bench/Measure.cpp
@@ -1,8 +1,9 @@
 /// \file
-/// Runs a scenario with real daemons and stand-in engines, once for the
-/// baseline (every daemon by itself, two choices on stale reports), once for
-/// ours and, where asked, for ours with decisions left out; the same seed and
-/// load each time. Prints a table.
+/// Runs a scenario with real daemons and stand-in engines: once with the
+/// baseline (each daemon schedules by itself and takes the better of two
+/// choices by stale load reports), once with keepers and, on request, with
+/// keepers that leave out a decision. All runs have the same seed and load.
+/// Prints a table.
 
 #include "Bench/Figures.h"
 #include "Common/Hash.h"
@@ -19,12 +20,13 @@
 #include <iterator>
 #include <thread>
 
-ABSL_FLAG(std::string, scenario, "steady", "A scenario's name, or all.");
+ABSL_FLAG(std::string, scenario, "steady", "Name of a scenario, or all.");
 ABSL_FLAG(std::string, leave_out, "",
-          "Decisions, separated by commas; a run each without one.");
+          "Decisions, separated by commas; an extra run leaves out each.");
 ABSL_FLAG(std::uint64_t, seed, 1, "Seed of the load.");
-ABSL_FLAG(bool, alone, false,
-          "Also run without the lowest tier, for what the others have alone.");
+ABSL_FLAG(
+    bool, alone, false,
+    "Also run without the lowest tier, to show what the others get alone.");
 
 namespace samphireshunt::bench {
 
@@ -40,7 +42,7 @@
 
 std::string keyOf(const std::string &Customer) { return "key-" + Customer; }
 
-/// The cluster's document with the customers of the scenarios.
+/// \returns the cluster's document with the customers of the scenarios added.
 Json documentOf(const Cluster &Fleet) {
   Json Document = Fleet.document();
   Document["customers"] = Json::array();
@@ -53,19 +55,19 @@
   return Document;
 }
 
-/// One call that is due at a time.
-struct Planned {
+/// A call with the time at which it is due.
+struct PlannedCall {
   milliseconds At_;
   const Stream *Source_;
 };
 
-std::vector<Planned> plan(const Scenario &Run, bool WithoutLowest,
-                          pcg32 &Random) {
-  std::vector<Planned> Calls;
+std::vector<PlannedCall> planCalls(const Scenario &Run, bool WithoutLowest,
+                                   pcg32 &Random) {
+  std::vector<PlannedCall> Calls;
   for (const Stream &Source : Run.Streams_) {
     if (WithoutLowest && Source.Tier_ == "bronze")
       continue;
-    // Arrivals as of many independent callers: exponential gaps.
+    // Exponential gaps model arrivals from many independent callers.
     double At = static_cast<double>(Source.Begin_.count());
     while (true) {
       constexpr double Steps = 1U << 20U;
@@ -76,11 +78,11 @@
       Calls.push_back({milliseconds(static_cast<std::int64_t>(At)), &Source});
     }
   }
-  std::ranges::stable_sort(Calls, {}, &Planned::At_);
+  std::ranges::stable_sort(Calls, {}, &PlannedCall::At_);
   return Calls;
 }
 
-std::string repeated(const std::string &Word, int Tokens) {
+std::string repeatWord(const std::string &Word, int Tokens) {
   constexpr std::size_t BytesPerToken = 4;
   std::string Text;
   while (Text.size() < static_cast<std::size_t>(Tokens) * BytesPerToken)
@@ -94,43 +96,43 @@
       : Scenario_(Run), Fleet_(std::move(Options)),
         Random_(absl::GetFlag(FLAGS_seed)) {
     if (Fleet_.apply(documentOf(Fleet_), {"--wait"}) != 0)
-      throw std::runtime_error("the document was not accepted");
+      throw std::runtime_error("the cluster rejected the scenario's document");
   }
 
   RunFigures run(bool WithoutLowest) {
-    auto Calls = plan(Scenario_, WithoutLowest, Random_);
+    auto Calls = planCalls(Scenario_, WithoutLowest, Random_);
     auto Started = steady_clock::now();
-    std::thread Happenings([this, Started] { happen(Started); });
+    std::thread EventThread([this, Started] { runEvents(Started); });
     std::vector<std::future<tests::CallRecord>> Pending;
     std::vector<MeasuredCall> Measured;
     for (std::size_t Index = 0; Index < Calls.size(); ++Index) {
       std::this_thread::sleep_until(Started + Calls[Index].At_);
-      MeasuredCall Known;
-      CallRequest Request = build(Calls[Index], Index, Known);
+      MeasuredCall Call;
+      CallRequest Request = buildRequest(Calls[Index], Index, Call);
       Pending.push_back(Fleet_.start(std::move(Request)));
-      Measured.push_back(std::move(Known));
+      Measured.push_back(std::move(Call));
     }
-    Happenings.join();
+    EventThread.join();
     for (std::size_t Index = 0; Index < Pending.size(); ++Index)
       Measured[Index].Record_ = Pending[Index].get();
-    RunFigures Seen = figures(Measured, Fleet_.folder(), Scenario_.Length_);
-    Seen.Violations_ = Fleet_.violations({.DaemonsKilled_ = true}).size();
-    return Seen;
+    RunFigures Figures = figures(Measured, Fleet_.folder(), Scenario_.Length_);
+    Figures.Violations_ = Fleet_.violations({.DaemonsKilled_ = true}).size();
+    return Figures;
   }
 
 private:
-  void happen(steady_clock::time_point Started) {
-    for (const Event &Due : Scenario_.Events_) {
-      std::this_thread::sleep_until(Started + Due.At_);
-      Due.Action_(Fleet_, documentOf(Fleet_));
+  void runEvents(steady_clock::time_point Started) {
+    for (const Event &Planned : Scenario_.Events_) {
+      std::this_thread::sleep_until(Started + Planned.At_);
+      Planned.Action_(Fleet_, documentOf(Fleet_));
     }
   }
 
-  CallRequest build(const Planned &Due, std::size_t Index,
-                    MeasuredCall &Known) {
-    const Stream &Source = *Due.Source_;
+  CallRequest buildRequest(const PlannedCall &Planned, std::size_t Index,
+                           MeasuredCall &Call) {
+    const Stream &Source = *Planned.Source_;
     int Daemon = 1 + static_cast<int>(Index % Daemons);
-    // The balancer notices a daemon that is gone, and takes the next.
+    // A load balancer detects a daemon that is down and uses the next one.
     if (!Fleet_.process("vm-" + std::to_string(Daemon)).running())
       Daemon = 1 + Daemon % Daemons;
     CallRequest Request = Fleet_.stream(Daemon);
@@ -140,18 +142,18 @@
     Request.Timeout_ = Source.Deadline_;
     Request.Prompt_.clear();
     if (Source.Files_ > 0) {
-      Known.File_ =
+      Call.File_ =
           static_cast<int>(Random_(static_cast<std::uint32_t>(Source.Files_)));
-      Known.FileTokens_ = Source.FileTokens_;
+      Call.FileTokens_ = Source.FileTokens_;
       Request.Prompt_ =
-          repeated(fmt::format("file {} ", Known.File_), Source.FileTokens_);
+          repeatWord(fmt::format("file {} ", Call.File_), Source.FileTokens_);
     }
-    Request.Prompt_ += repeated(Request.Nonce_ + " ", Source.PromptTokens_);
-    Known.Customer_ = Source.Customer_;
-    Known.Tier_ = Source.Tier_;
-    Known.Deadline_ = Source.Deadline_;
-    Known.Started_ = Due.At_;
-    Known.OwnTokens_ = Source.PromptTokens_ + 1;
+    Request.Prompt_ += repeatWord(Request.Nonce_ + " ", Source.PromptTokens_);
+    Call.Customer_ = Source.Customer_;
+    Call.Tier_ = Source.Tier_;
+    Call.Deadline_ = Source.Deadline_;
+    Call.Started_ = Planned.At_;
+    Call.OwnTokens_ = Source.PromptTokens_ + 1;
     return Request;
   }
 
@@ -166,7 +168,8 @@
   Options.Daemons_ = Daemons;
   Options.Steps_ = engineSteps();
   Options.Models_ = static_cast<int>(Options.Steps_.size());
-  // More than an engine works on at once: the right limit is to be found.
+  // More than an engine processes at once, so that the daemons have to find the
+  // effective limit.
   Options.MaxInFlight_ = 32;
   Options.Relays_ = Run.Name_ == "daemon-cut";
   Options.DaemonFlags_ = std::move(DaemonFlags);
@@ -175,16 +178,18 @@
 }
 
 void printRun(const std::string &Name, const RunFigures &Run) {
-  for (const auto &[Tier, Seen] : Run.Tiers_)
+  for (const auto &[Tier, Figures] : Run.Tiers_)
     fmt::print("| {} | {} | {} | {} | {:.1f} | {:.0f} | {:.0f} | {:.0f} |\n",
-               Name, Tier, Seen.Asked_, Seen.Good_, Seen.GoodPerSecond_,
-               Seen.FirstTokenP50Ms_, Seen.FirstTokenP95Ms_, Seen.GapP95Ms_);
+               Name, Tier, Figures.Asked_, Figures.Good_,
+               Figures.GoodPerSecond_, Figures.FirstTokenP50Ms_,
+               Figures.FirstTokenP95Ms_, Figures.GapP95Ms_);
   std::string Codes;
   for (const auto &[Code, Count] : Run.ByCode_)
     Codes += fmt::format(" {}:{}", Code, Count);
   std::string ByCustomer;
-  for (const auto &[Customer, Seen] : Run.Customers_)
-    ByCustomer += fmt::format(" {} {}/{}", Customer, Seen.Good_, Seen.Asked_);
+  for (const auto &[Customer, Figures] : Run.Customers_)
+    ByCustomer +=
+        fmt::format(" {} {}/{}", Customer, Figures.Good_, Figures.Asked_);
   fmt::print("| {} | all | customers{} | not good by code{} | wasted prefill "
              "{:.0f} of {:.0f} tokens ({:.1f} %) | violations {} | | |\n",
              Name, ByCustomer, Codes, Run.WastedTokens_, Run.PrefillTokens_,
@@ -193,12 +198,12 @@
 }
 
 void printRatios(const RunFigures &Baseline, const RunFigures &Ours) {
-  for (const auto &[Tier, Seen] : Ours.Tiers_) {
+  for (const auto &[Tier, Figures] : Ours.Tiers_) {
     auto Before = Baseline.Tiers_.find(Tier);
     if (Before != Baseline.Tiers_.end())
       fmt::print(
           "ratio of goodput, {}: {:.2f}\n", Tier,
-          static_cast<double>(Seen.Good_) /
+          static_cast<double>(Figures.Good_) /
               std::max<double>(1, static_cast<double>(Before->second.Good_)));
   }
   fmt::print("ratio of wasted prefill: {:.2f}\n\n",
@@ -207,10 +212,10 @@
 
 RunFigures runOnce(const Scenario &Run, const std::string &Name,
                    std::vector<std::string> Flags, bool WithoutLowest = false) {
-  Runner Once(Run, clusterOptions(Run, std::move(Flags)));
-  RunFigures Seen = Once.run(WithoutLowest);
-  printRun(Name, Seen);
-  return Seen;
+  Runner Single(Run, clusterOptions(Run, std::move(Flags)));
+  RunFigures Figures = Single.run(WithoutLowest);
+  printRun(Name, Figures);
+  return Figures;
 }
 
 void measure(const Scenario &Run) {
@@ -246,6 +251,6 @@
     measure(Run);
   }
   if (!Found)
-    fmt::print(stderr, "no scenario '{}'\n", Wanted);
+    fmt::print(stderr, "unknown scenario '{}'\n", Wanted);
   return Found ? 0 : 2;
 }
--- a/Bench/MembershipFleet.cpp
+++ b/Bench/MembershipFleet.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// How soon fleets of several sizes know what happens to their members, in
-/// virtual time, and what that costs: the table of docs/CAPACITY.md.
+/// Measures how soon fleets of several sizes detect changes of their members,
+/// in virtual time, and what that costs. Prints the table of docs/CAPACITY.md.
 ///   membership_fleet [COUNT...]
 
 #include "Bench/Counts.h"
@@ -20,10 +20,11 @@
 
 constexpr seconds Settle{2};
 constexpr seconds Limit{60};
-constexpr seconds CalmTime{30};
+constexpr seconds QuietTime{30};
 
-/// From the first suspicion until no live daemon takes the dead one for alive.
-milliseconds heardOfDeath(std::size_t Count) {
+/// \returns the time from the first suspicion of a dead daemon until no live
+/// daemon considers it alive.
+milliseconds deathSpreadTime(std::size_t Count) {
   SimulatedFleet Fleet(Count, {});
   Fleet.runFor(Settle);
   Fleet.kill(1);
@@ -33,22 +34,24 @@
       [&] { return Fleet.viewsOf(1, MemberStatus::Alive) == 0; }, Limit);
 }
 
-/// From the return of 55 in 100 until all know all processes.
-milliseconds heardOfReturn(std::size_t Count) {
-  constexpr std::size_t GonePercent = 55;
+/// \returns the time from the restart of 55 % of the daemons until all daemons
+/// have a correct view of all others.
+milliseconds returnSpreadTime(std::size_t Count) {
+  constexpr std::size_t StoppedPercent = 55;
   SimulatedFleet Fleet(Count, {});
   Fleet.runFor(Settle);
-  std::size_t Gone = Count * GonePercent / 100;
-  for (std::size_t Index = 0; Index < Gone; ++Index)
+  std::size_t Stopped = Count * StoppedPercent / 100;
+  for (std::size_t Index = 0; Index < Stopped; ++Index)
     Fleet.kill(Index);
   Fleet.runFor(Settle);
-  for (std::size_t Index = 0; Index < Gone; ++Index)
+  for (std::size_t Index = 0; Index < Stopped; ++Index)
     Fleet.restart(Index);
   return Fleet.runUntil([&] { return Fleet.falseViews() == 0; }, Limit);
 }
 
-/// From the end of a cut of ten seconds between halves until it is forgotten.
-milliseconds heardOfHealing(std::size_t Count) {
+/// \returns the time from the end of a partition into halves, which lasts ten
+/// seconds, until all daemons have a correct view of all others.
+milliseconds partitionHealTime(std::size_t Count) {
   constexpr seconds Cut{10};
   SimulatedFleet Fleet(Count, {});
   Fleet.runFor(Settle);
@@ -60,38 +63,39 @@
   return Fleet.runUntil([&] { return Fleet.falseViews() == 0; }, Limit);
 }
 
-struct Calm {
+/// Results of a run in which no daemon fails.
+struct QuietRun {
   std::uint64_t Suspicions_;
   std::uint64_t Deaths_;
-  /// Sent by a daemon in a second.
+  /// Sent by each daemon per second.
   std::uint64_t Bytes_;
 };
 
-Calm calm(std::size_t Count, double LossPercent) {
+QuietRun runQuietly(std::size_t Count, double LossPercent) {
   SimulatedFleet::Options Options;
   Options.LossPercent_ = LossPercent;
   SimulatedFleet Fleet(Count, Options);
-  Fleet.runFor(CalmTime);
-  auto Seconds = static_cast<std::uint64_t>(CalmTime.count());
+  Fleet.runFor(QuietTime);
+  auto Seconds = static_cast<std::uint64_t>(QuietTime.count());
   return {Fleet.falseSuspicions(), Fleet.falselyDead(),
           Fleet.bytesSent() / Count / Seconds};
 }
 
 void row(std::size_t Count) {
   constexpr double Loss = 5;
-  Calm Sound = calm(Count, 0);
-  Calm Lossy = calm(Count, Loss);
+  QuietRun Lossless = runQuietly(Count, 0);
+  QuietRun Lossy = runQuietly(Count, Loss);
   fmt::print("| {} | {} | {} | {} | {} | {} | {} | {} |\n", Count,
-             heardOfDeath(Count).count(), heardOfReturn(Count).count(),
-             heardOfHealing(Count).count(), Sound.Bytes_, Sound.Deaths_,
-             Lossy.Suspicions_, Lossy.Deaths_);
+             deathSpreadTime(Count).count(), returnSpreadTime(Count).count(),
+             partitionHealTime(Count).count(), Lossless.Bytes_,
+             Lossless.Deaths_, Lossy.Suspicions_, Lossy.Deaths_);
   std::fflush(stdout);
 }
 
 } // namespace
 
 int main(int ArgumentCount, char **Arguments) {
-  fmt::print("| daemons | death heard of by all, ms | return of 55 %, ms | end "
+  fmt::print("| daemons | death known to all, ms | return of 55 %, ms | end "
              "of a partition, ms | bytes/s sent | false deaths in 30 s | false "
              "suspicions in 30 s, 5 % lost | false deaths, 5 % lost |\n");
   for (std::size_t Count :
--- a/Bench/Scenario.cpp
+++ b/Bench/Scenario.cpp
@@ -10,26 +10,27 @@
 
 namespace {
 
-/// What the four engines can do together of the usual request: 8 at once, 20
-/// tokens, steps of 5, 7, 10 and 20 ms, some prompt work in between.
+/// Requests per second with the default lengths that the four engines can serve
+/// together, with batches of 8, answers of 20 tokens, steps of 5, 7, 10 and 20
+/// ms, and some prefill.
 constexpr double Capacity = 150;
 constexpr milliseconds WholeRun{8000};
 
-Stream usual(const std::string &Customer, const std::string &Tier,
-             double PartOfCapacity) {
+Stream defaultStream(const std::string &Customer, const std::string &Tier,
+                     double CapacityFraction) {
   Stream Built;
   Built.Customer_ = Customer;
   Built.Tier_ = Tier;
-  Built.PerSecond_ = PartOfCapacity * Capacity;
+  Built.PerSecond_ = CapacityFraction * Capacity;
   Built.End_ = WholeRun;
   return Built;
 }
 
-/// All tiers together at \p Load times the capacity.
-std::vector<Stream> mixed(double Load) {
-  return {usual("alpha", "gold", 0.2 * Load),
-          usual("beta", "silver", 0.3 * Load),
-          usual("gamma", "bronze", 0.5 * Load)};
+/// \returns streams of all tiers that add up to \p Load times the capacity.
+std::vector<Stream> allTiers(double Load) {
+  return {defaultStream("alpha", "gold", 0.2 * Load),
+          defaultStream("beta", "silver", 0.3 * Load),
+          defaultStream("gamma", "bronze", 0.5 * Load)};
 }
 
 Event fault(milliseconds At, std::string Name, Json Body) {
@@ -41,18 +42,18 @@
   Scenario Built;
   Built.Name_ = std::move(Name);
   Built.Description_ = std::move(Description);
-  Built.Streams_ = mixed(2.0);
+  Built.Streams_ = allTiers(2.0);
   Built.Events_ = std::move(Events);
   return Built;
 }
 
 Scenario bursts() {
   Scenario Built = overloaded("bursts", "bronze burst, then gold burst", {});
-  Built.Streams_ = mixed(0.6);
-  Stream Low = usual("gamma", "bronze", 3.0);
+  Built.Streams_ = allTiers(0.6);
+  Stream Low = defaultStream("gamma", "bronze", 3.0);
   Low.Begin_ = milliseconds(1000);
   Low.End_ = milliseconds(4000);
-  Stream High = usual("alpha", "gold", 0.7);
+  Stream High = defaultStream("alpha", "gold", 0.7);
   High.Begin_ = milliseconds(3000);
   High.End_ = milliseconds(6000);
   Built.Streams_.push_back(Low);
@@ -62,28 +63,29 @@
 
 Scenario flood() {
   Scenario Built = overloaded("flood", "one customer floods its tier", {});
-  Built.Streams_ = {usual("alpha", "silver", 0.2), usual("beta", "silver", 0.2),
-                    usual("gamma", "silver", 2.0)};
+  Built.Streams_ = {defaultStream("alpha", "silver", 0.2),
+                    defaultStream("beta", "silver", 0.2),
+                    defaultStream("gamma", "silver", 2.0)};
   return Built;
 }
 
 Scenario longShort() {
   Scenario Built = overloaded("long-short", "some a hundred times longer", {});
-  Stream Long = usual("gamma", "bronze", 0.02);
+  Stream Long = defaultStream("gamma", "bronze", 0.02);
   Long.AnswerTokens_ = 1000;
   Long.PromptTokens_ = 4000;
   Long.Deadline_ = milliseconds(30000);
-  Stream Short = usual("alpha", "gold", 2.0);
+  Stream Short = defaultStream("alpha", "gold", 2.0);
   Short.AnswerTokens_ = 5;
   Short.PromptTokens_ = 40;
   Short.Deadline_ = milliseconds(1000);
-  Built.Streams_ = {Short, usual("beta", "silver", 0.4), Long};
+  Built.Streams_ = {Short, defaultStream("beta", "silver", 0.4), Long};
   return Built;
 }
 
 Scenario prefixes() {
   Scenario Built = overloaded("prefixes", "long shared files, few engines", {});
-  Stream Files = usual("alpha", "gold", 0.25);
+  Stream Files = defaultStream("alpha", "gold", 0.25);
   Files.Files_ = 12;
   Files.FileTokens_ = 4000;
   Files.AnswerTokens_ = 10;
@@ -95,7 +97,7 @@
   return Built;
 }
 
-Scenario leaving() {
+Scenario enginesLeave() {
   auto Leave = [](Cluster &Fleet, Json Document) {
     for (Json &Server : Document["pools"][0]["servers"])
       if (Server["name"] == "model-1" || Server["name"] == "model-3")
@@ -154,7 +156,7 @@
 
 std::vector<Scenario> allScenarios() {
   Scenario Steady = overloaded("steady", "0.6 of the capacity", {});
-  Steady.Streams_ = mixed(0.6);
+  Steady.Streams_ = allTiers(0.6);
   return {Steady,
           overloaded("overload", "all tiers at 2 times the capacity", {}),
           bursts(),
@@ -163,7 +165,7 @@
           prefixes(),
           overloaded("slow-engine", "the fastest engine at a quarter",
                      {fault(milliseconds(3000), "model-1", {{"slow", 4.0}})}),
-          leaving(),
+          enginesLeave(),
           overloaded("platform-down", "the platform is down all the time",
                      {fault(milliseconds(0), "platform", {{"outage", true}})}),
           daemonKilled(),
--- a/Bench/Scenario.h
+++ b/Bench/Scenario.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// The scenarios of measurements: who asks for what when, and what fails.
+/// The scenarios of measurements: the load over time, and the faults.
 
 #include "FailureTests/Cluster.h"
 
@@ -12,7 +12,7 @@
 
 using std::chrono::milliseconds;
 
-/// Requests of one customer in one tier, at a rate.
+/// Requests of one customer in one tier at a constant mean rate.
 struct Stream {
   std::string Customer_;
   std::string Tier_;
@@ -22,12 +22,12 @@
   int PromptTokens_ = 100;
   std::size_t AnswerTokens_ = 20;
   milliseconds Deadline_{2000};
-  /// Prompts start with one of so many files; 0: none is shared.
+  /// Number of shared files that prompts start with; 0: prompts share nothing.
   int Files_ = 0;
   int FileTokens_ = 0;
 };
 
-/// Something that happens to the cluster during the run.
+/// An action on the cluster at a time after the start of the run.
 struct Event {
   milliseconds At_;
   std::function<void(tests::Cluster &, tests::Json Document)> Action_;
@@ -39,11 +39,13 @@
   std::vector<Stream> Streams_;
   std::vector<Event> Events_;
   milliseconds Length_{8000};
-  /// Daemons that callers stop using at a time, as a balancer would.
+  /// Daemons with the time at which callers stop using them, as a load balancer
+  /// does.
   std::vector<std::pair<int, milliseconds>> AvoidDaemons_;
 };
 
-/// Step times of the engines, fourfold apart.
+/// \returns the step times of the engines in ms. The slowest engine takes four
+/// times as long as the fastest.
 std::vector<double> engineSteps();
 std::vector<Scenario> allScenarios();
 
--- a/Bench/SchedulerCost.cpp
+++ b/Bench/SchedulerCost.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Nanoseconds a decision, at 32 engines, by the number of waiting requests.
+/// Measures the time of a scheduling decision with 32 engines, by the number of
+/// waiting requests.
 
 #include "Process/Scheduling/Scheduler.h"
 
@@ -25,7 +26,7 @@
   return Asked;
 }
 
-/// One request ends, one comes, one is granted.
+/// Each iteration ends one request, adds one, and grants one.
 void decideAtDepth(benchmark::State &State) {
   Scheduler::Options Options;
   Options.TierCount_ = Tiers;
@@ -42,8 +43,8 @@
       if (const auto *Grant = std::get_if<GrantDecision>(&Taken))
         Running.push_back(Grant->Id_);
   };
-  auto Wanted = static_cast<std::size_t>(State.range(0));
-  while (Cell.waiting() < Wanted) {
+  auto Depth = static_cast<std::size_t>(State.range(0));
+  while (Cell.waiting() < Depth) {
     Cell.ask(request(Next++, Now), Now);
     Decide();
   }
--- a/Bench/StoreEraFleet.cpp
+++ b/Bench/StoreEraFleet.cpp
@@ -1,7 +1,8 @@
 /// \file
-/// How soon a fleet has what is written after the platform's store was away, or
-/// came back from an older copy, and how many calls of the store that costs: a
-/// table of docs/CAPACITY.md. All daemons in one thread, in real time.
+/// Measures how soon a fleet receives what is written after an outage of the
+/// platform's store, or after its restore from an older copy, and how many
+/// calls to the store that costs. Prints a table of docs/CAPACITY.md. All
+/// daemons run on one thread, in real time.
 ///   store_era_fleet [COUNT...]
 
 #include "Bench/Counts.h"
@@ -26,25 +27,26 @@
 namespace {
 
 constexpr std::size_t DaemonsPerReader = 12;
-/// One VM in so many has a strong link.
+/// One VM in this many has a strong link.
 constexpr std::size_t StrongOneIn = 20;
 constexpr std::uint32_t StrongMbps = 200;
 constexpr std::uint32_t WeakMbps = 10;
-/// Few: all daemons share one thread, each takes each entry in.
+/// A small number, since all daemons share one thread and each applies each
+/// entry.
 constexpr int Servers = 30;
 constexpr int FirstPort = 8000;
 constexpr seconds Lease{5};
 constexpr milliseconds RegisterAgain{2400};
 constexpr milliseconds CallTimeout{700};
-constexpr milliseconds Away{1500};
+constexpr milliseconds OutageTime{1500};
 constexpr milliseconds StartGap{5};
 constexpr seconds Settle{8};
 constexpr seconds Limit{30};
-/// Calls are counted for so long from the beginning of the trouble.
-constexpr seconds Counted{10};
+/// How long calls are counted, from the start of the outage.
+constexpr seconds CountTime{10};
 
-/// Times of a process with its usual settings.
-StoreDaemon::Settings usualSettings() {
+/// \returns the times of a daemon with its default settings.
+StoreDaemon::Settings defaultSettings() {
   StoreDaemon::Settings Built;
   Built.Lease_ = Lease;
   Built.Times_ = {RegisterAgain};
@@ -84,7 +86,7 @@
           return Daemon->Service_->paused();
         }));
   }
-  /// In thousandths, how many have that version in force.
+  /// \returns how many daemons in 1000 have \p Version active.
   std::size_t permilleWith(int Version) const {
     DocumentVersion Wanted(static_cast<std::uint64_t>(Version));
     auto Have = std::ranges::count_if(Daemons_, [&](const auto &Daemon) {
@@ -113,18 +115,19 @@
   }
   void add(const Member &Self) {
     PeerFollower::Hooks Hooks;
-    auto Pass = [this, From = Self.Id_](const VmId &To, std::string Message) {
+    auto Forward = [this, From = Self.Id_](const VmId &To,
+                                           std::string Message) {
       boost::asio::post(
           Context_, [this, From, To, Message] { deliver(From, To, Message); });
     };
-    Hooks.Send_ = Pass;
-    Hooks.Reply_ = Pass;
+    Hooks.Send_ = Forward;
+    Hooks.Reply_ = Forward;
     Hooks.Choose_ = [Chosen = chooseReaders(Self, Members_, DaemonsPerReader)] {
       return Chosen;
     };
     Index_[Self.Id_] = Daemons_.size();
     Daemons_.push_back(
-        std::make_unique<StoreDaemon>(Context_, Store_, usualSettings()));
+        std::make_unique<StoreDaemon>(Context_, Store_, defaultSettings()));
     Daemons_.back()->start(Self.Id_, std::move(Hooks));
   }
   void deliver(const VmId &From, const VmId &To, const std::string &Message) {
@@ -133,14 +136,14 @@
     if (Found == Index_.end())
       return;
     PeerFollower &Peers = *Daemons_[Found->second]->Peers_;
-    if (const auto *Asked = Decoded.body.AsFollow())
-      Peers.onFollow(From, *Asked);
+    if (const auto *Follow = Decoded.body.AsFollow())
+      Peers.onFollow(From, *Follow);
     else if (const auto *Text = Decoded.body.AsTextAsk())
       Peers.onTextAsk(From, *Text);
     else if (const auto *Part = Decoded.body.AsTextPart())
       Peers.onTextPart(From, *Part);
-    else if (const auto *Told = Decoded.body.AsState())
-      Peers.onState(From, *Told);
+    else if (const auto *State = Decoded.body.AsState())
+      Peers.onState(From, *State);
   }
 
   std::vector<Member> Members_;
@@ -148,7 +151,7 @@
   std::map<VmId, std::size_t> Index_;
 };
 
-void measure(std::size_t Count, bool Copy) {
+void measure(std::size_t Count, bool FromOlderCopy) {
   BenchFleet Fleet(Count);
   Fleet.Store_.takeCopy();
   Fleet.Store_.put("op/config", configuration(2));
@@ -157,20 +160,20 @@
   auto Begin = steady_clock::now();
   std::size_t Before = Fleet.calls();
   Fleet.Store_.FailWith_ = 503;
-  Fleet.runFor(Away);
+  Fleet.runFor(OutageTime);
   Fleet.Store_.FailWith_ = 0;
-  if (Copy)
+  if (FromOlderCopy)
     Fleet.Store_.restoreCopy();
   Fleet.writeServers();
   Fleet.Store_.put("op/config", configuration(3));
-  auto Back = steady_clock::now();
-  auto Nearly = Fleet.untilPermille(990, 3, Back);
-  auto All = Fleet.untilPermille(1000, 3, Back);
-  auto Rest = Begin + Counted - steady_clock::now();
-  Fleet.runFor(std::max(steady_clock::duration(0), Rest));
+  auto RestoredAt = steady_clock::now();
+  auto Until99Percent = Fleet.untilPermille(990, 3, RestoredAt);
+  auto UntilAll = Fleet.untilPermille(1000, 3, RestoredAt);
+  auto Remaining = Begin + CountTime - steady_clock::now();
+  Fleet.runFor(std::max(steady_clock::duration(0), Remaining));
   fmt::print("| {} | {} | {} | {} | {} | {} |\n", Count, Following,
-             Copy ? "older copy" : "outage", Nearly.count(), All.count(),
-             Fleet.calls() - Before);
+             FromOlderCopy ? "older copy" : "outage", Until99Percent.count(),
+             UntilAll.count(), Fleet.calls() - Before);
   std::fflush(stdout);
 }
 
@@ -179,10 +182,10 @@
 int main(int ArgumentCount, char **Arguments) {
   spdlog::set_level(spdlog::level::off);
   fmt::print(
-      "| daemons | of them following | trouble | 99 in 100, ms | all, ms "
+      "| daemons | of these following | failure | 99 in 100, ms | all, ms "
       "| calls in 10 s |\n"
       "|---|---|---|---|---|---|\n");
   for (std::size_t Count : countsFrom(ArgumentCount, Arguments, {30, 100, 300}))
-    for (bool Copy : {false, true})
-      measure(Count, Copy);
+    for (bool FromOlderCopy : {false, true})
+      measure(Count, FromOlderCopy);
 }
