--- a/Tools/bench.sh
+++ b/Tools/bench.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Prints the daemon's added time, its requests a second on two cores, and its
-# memory over 100,000 requests. Not a test: figures depend on the machine, the
-# ratios less so.
+# Prints the latency that the daemon adds, its requests per second on two cores,
+# and its memory over 100,000 requests. This is not a test: the figures depend on
+# the machine, their ratios less so.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 source Tools/processes.sh
@@ -42,13 +42,14 @@
   --server="$(field platform address)" >/dev/null
 await_ready "$(field vm-1 operators)"
 
-# load TARGETS COUNT CONCURRENCY: fails unless every call was answered.
+# load TARGETS COUNT CONCURRENCY: sends requests; fails unless every call was
+# answered.
 load() {
   local Summary
   Summary=$(taskset -c 2-5 "$Standins/standin_callers" --targets="$1" \
     --count="$2" --concurrency="$3" --host=bench --key=bench-key \
     --mode=application --path=/readings/1 --method=GET)
-  # An engine asked directly names no outcome.
+  # An engine that is called directly, without a daemon, names no outcome.
   if ! grep -qE "\"outcomes\":\{\"(answered)?\":$2\}" <<<"$Summary"; then
     echo "not all answered: $Summary" >&2
     return 1
@@ -71,7 +72,7 @@
   printf "light load: direct p50 %.3f ms p99 %.3f ms; through the daemon p50 %.3f ms p99 %.3f ms\n", d50, d99, t50, t99
   printf "added: p50 %.3f ms (target under 1), p99 %.3f ms (target under 3)\n", t50 - d50, t99 - d99 }'
 
-# The daemon's processor time so far, in clock ticks.
+# Prints the processor time that the daemon has used, in clock ticks.
 ticks() {
   awk '{print $14 + $15}' "/proc/${Pid[vm-1]}/stat"
 }
--- a/Tools/capacity.sh
+++ b/Tools/capacity.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Measures what idle daemons cost by their number, and how fast a change gets
-# everywhere: Tools/capacity.sh [NUMBER...]. Prints a table row for each number.
+# Measures the cost of idle daemons by their number, and how fast a configuration
+# change reaches all of them. Prints a table row for each number.
+#   Tools/capacity.sh [NUMBER...]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 Numbers=("$@")
@@ -46,14 +47,14 @@
   document 1001 >"$Work/one.yaml"
   "$Bin/samphireshuntctl" apply "$Work/one.yaml" --server="$Platform" --wait \
     --wait_timeout_ms=60000 >/dev/null 2>&1
-  # Everyone knows everyone.
+  # Wait until the last daemon sees all others as alive.
   for Try in $(seq 600); do
     Known=$(curl -s "http://$(field "vm-$Count" operators)/status" |
       { grep -o '"status":"alive"' || true; } | wc -l)
     [ "$Known" -ge $((Count - 1)) ] && break
     sleep 0.1
   done
-  sleep 5 # The joining's burst of updates ends.
+  sleep 5 # The burst of updates from joining has to end.
   sum_status() {
     local Sum=0 Number Value
     for Number in 1 $((Count / 2)) "$Count"; do
@@ -85,7 +86,7 @@
   Memory=$(for Number in $(seq "$Count"); do
     awk '/VmRSS/ {print $2}' "/proc/${Pid[vm-$Number]}/status"
   done | sort -n | tail -1)
-  # From the write of the change to the last daemon's adoption, by their logs.
+  # The time from writing the change until the last daemon logs its adoption.
   document 1002 >"$Work/two.yaml"
   Begin=$(date +%s%3N)
   "$Bin/samphireshuntctl" apply "$Work/two.yaml" --server="$Platform" --wait \
@@ -93,7 +94,8 @@
   Last=$(grep -h '"event":"adopted".*"version":"2"' "$Work"/vm-*.log |
     sed -E 's/.*"time":"([^"]*)".*/\1/' | sort | tail -1)
   Adopted=$(date -d "$Last" +%s%3N)
-  # The same with the platform in reach of one daemon only is in MEASUREMENTS.
+  # docs/MEASUREMENTS.md has the same time with only one daemon that can reach the
+  # platform.
   awk -v n="$Count" -v sent="$Sent" -v heard="$Heard" -v ticks="$Ticks" \
     -v hz="$(getconf CLK_TCK)" -v s="$Seconds" -v mem="$Memory" \
     -v calls="$Calls" -v ms="$((Adopted - Begin))" 'BEGIN {
--- a/Tools/capacity_engines.sh
+++ b/Tools/capacity_engines.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Measures what a keeper spends on the reports of its engines, by their number,
-# and the bytes between daemons for each request.
+# Measures the processor time that a keeper spends on its engines' reports, by the
+# number of engines, and the bytes between daemons for each request.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 Seconds=10
@@ -65,7 +65,7 @@
       2 * n * (b[1] + b[2] + b[3]) }'
 )
 
-# Two daemons; the requests go to the one that is not the keeper.
+# Runs two daemons and sends the requests to the one that is not the keeper.
 requests() (
   source Tools/processes.sh
   start platform "$Standins/standin_Platform"
--- a/Tools/demo.sh
+++ b/Tools/demo.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# Installs, builds, and shows the whole path as separate processes: a platform
-# stand-in, three daemons, four model and two application engines, a document
-# of each deployment, real requests, and a graceful stop of everything.
-# Exit status 1 if any answer is missing, doubled or wrong.
+# Installs packages, builds, and demonstrates the system end to end in separate
+# processes: a platform stand-in, three daemons, four model engines, two
+# application engines, a document for each deployment, real requests, and a
+# graceful stop of all processes. The exit status is 1 if an answer is missing,
+# duplicated or wrong.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 Tools/install.sh
@@ -77,7 +78,7 @@
   await_ready "$(field "vm-$Number" operators)"
 done
 
-# send NAME SERVICE KEY MORE...: three calls, one to each daemon.
+# send NAME SERVICE KEY MORE...: makes three calls, one to each daemon.
 send() {
   local Name=$1 Service=$2 Key=$3
   shift 3
--- a/Tools/format.sh
+++ b/Tools/format.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Formats the sources in place; with --check only tells which are not.
+# Formats the sources in place; with --check it only reports unformatted files.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 mapfile -t Files < <(git ls-files -co --exclude-standard '*.h' '*.cpp' |
--- a/Tools/generate.sh
+++ b/Tools/generate.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Writes the committed FlatBuffers header anew; needs flatbuffers-compiler.
+# Regenerates the committed FlatBuffers header; needs flatbuffers-compiler.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 flatc --cpp --scoped-enums --gen-object-api --filename-suffix _generated \
--- a/Tools/install.sh
+++ b/Tools/install.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs the packages that building and testing need, on Debian 12.
+# Installs the packages needed for building and testing on Debian 12.
 set -euo pipefail
 Packages=(
   curl g++ cmake ninja-build ccache clang-format clang-tidy git ca-certificates
--- a/Tools/lint.sh
+++ b/Tools/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs clang-tidy over the project's own sources; needs a configured build/.
+# Runs clang-tidy on the project's own sources; needs a configured build/.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 Log=$(mktemp)
--- a/Tools/mutations.sh
+++ b/Tools/mutations.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# Shows that the failure tests can fail: leaves out one mechanism at a time in
-# a copy of the tree, and expects the named test case to fail there.
+# Shows that the failure tests can fail: disables one mechanism at a time in a copy
+# of the tree, and expects the named test case to fail there.
 #   [JOBS=N] Tools/mutations.sh [NAMES], e.g. 'era-*'
 set -uo pipefail
-{ # Read whole before it runs, so that it may be edited meanwhile.
+{ # The shell reads this block completely first, so the file may be edited during a run.
 cd "$(dirname "$0")/.."
 Copy=$(mktemp -d)
 trap 'rm -rf "$Copy"' EXIT
@@ -16,14 +16,15 @@
   ninja -j "${JOBS:-$(nproc)}" -C build "$@" >build.log 2>&1 || { tail -20 build.log; return 1; }
 }
 
-# edit FILE PERL_EXPRESSION: fails when nothing changes.
+# edit FILE PERL_EXPRESSION: edits a file; fails if nothing changes.
 edit() {
   cp "$1" "saved.$(basename "$1")"
   perl -0pi -e "$2" "$1"
   ! cmp -s "saved.$(basename "$1")" "$1"
 }
 
-# mutate NAME FILE PERL_EXPRESSION TEST_PROGRAM CASE_PATTERN [FILE EXPRESSION]
+# mutate NAME FILE PERL_EXPRESSION TEST_PROGRAM CASE_PATTERN [FILE EXPRESSION]:
+# applies a mutation, builds what it needs and expects the test case to fail.
 mutate() {
   # shellcheck disable=SC2053
   [ -z "$Only" ] || [[ "$1" == $Only ]] || return 0
@@ -53,7 +54,7 @@
 }
 
 cmake -G Ninja -B build -DCMAKE_BUILD_TYPE=Release >/dev/null
-# A mutation builds what it needs; all of them need all.
+# With a name given, each mutation builds what it needs; without one, build all.
 [ -n "$Only" ] || build all || exit 1
 
 F=FailureTests/FailureTests_
--- a/Tools/plot.sh
+++ b/Tools/plot.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Plots the part of gold and silver requests answered in time, by scenario, from
-# the tables of docs/MEASUREMENTS.md into docs/goodput.svg.
+# Plots the fraction of gold and silver requests answered in time, by scenario,
+# from the tables of docs/MEASUREMENTS.md into docs/goodput.svg.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 Data=$(mktemp)
--- a/Tools/processes.sh
+++ b/Tools/processes.sh
@@ -1,12 +1,12 @@
-# Starts and ends the processes of a run; sourced by other scripts. Processes
-# choose their own ports and tell them in their first line.
+# Functions that start and stop the processes of a run, to be sourced by other
+# scripts. Processes choose their own ports and print them in their first line.
 Root=$(cd "$(dirname "${BASH_SOURCE[0]}")/.." && pwd)
 Bin=$Root/build/Source/Programs
 Standins=$Root/build/standins
 Work=$(mktemp -d)
 declare -A Pid Line
 
-# start NAME COMMAND...: starts it and waits for the line with its addresses.
+# start NAME COMMAND...: starts a process and waits for the line with its addresses.
 start() {
   local Name=$1 Pipe
   shift
@@ -23,17 +23,17 @@
   fi
 }
 
-# field NAME FIELD: a field of the line that a process wrote.
+# field NAME FIELD: prints a field of the line that a process printed.
 field() {
   sed -E 's/.*"'"$2"'":"([^"]*)".*/\1/' <<<"${Line[$1]}"
 }
 
-# post ADDRESS PATH BODY: one HTTP request.
+# post ADDRESS PATH BODY: sends an HTTP POST request.
 post() {
   curl -sS -f -X POST -d "$3" "http://$1$2" >/dev/null
 }
 
-# stop NAME...: asks for a graceful end and waits; fails when one fails.
+# stop NAME...: stops processes gracefully and waits; fails if one of them fails.
 stop() {
   local Name Failed=0
   for Name in "$@"; do
@@ -56,7 +56,7 @@
 }
 trap end_all EXIT
 
-# await_ready ADDRESS: waits until a daemon serves.
+# await_ready ADDRESS: waits until a daemon is ready to serve.
 await_ready() {
   local Try
   for Try in $(seq 300); do
--- a/Tools/regression.sh
+++ b/Tools/regression.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# What is played before a landing, with the users' bench: the standard days of
-# the regression sites, and hunts on all. Not part of CI, which has no bench.
+# Runs the regression before a landing, with the users' bench: the standard days of
+# the scored sites, and hunts on all sites. Not part of CI, which has no bench.
 #   BENCH=PROGRAM SYSTEM=FOLDER [JOBS=N] Tools/regression.sh score|hunt WHY [SITE...]
 # SYSTEM is the folder of the users' pages; a SITE, e.g. further/ramdin-manuels,
-# limits the run to it. 40 days of hunt on each site, 8 where there are 60 VMs
-# or more.
+# limits the run to it. A hunt takes 40 days on each site, but 8 on sites with 60
+# VMs or more.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 : "${BENCH:?the path of the bench}" "${SYSTEM:?the folder of the pages}"
@@ -15,8 +15,8 @@
   exit 2
 fi
 shift 2
-# The large site has taken the place of the oldest two among what is scored; these
-# are hunted on as before.
+# The large site is scored instead of the two oldest sites, which are still hunted
+# on.
 Scored=(large/emalq-red-large further-grown/ramdin-manuels-grown
   grown/emalq-red-grown grown/rcic-lending-grown further/ramdin-manuels)
 Hunted=("${Scored[@]}" sites/emalq-red sites/rcic-lending)
--- a/Tools/run_tests.sh
+++ b/Tools/run_tests.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Passes the tests of a build, but for those listed in KNOWN-RED.txt (name first,
-# up to the bar): these are run and printed, and don't decide.
+# Runs the tests of a build. Tests listed in KNOWN-RED.txt (the name is the text
+# before the bar) are run and printed separately and don't affect the exit status.
 #   Tools/run_tests.sh BUILD [CTEST_OPTION...]
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/Tools/sanitize.sh
+++ b/Tools/sanitize.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Builds into build-asan/ or build-tsan/ with a sanitizer and passes the whole
-# test suite there, real daemons included.
+# Builds with a sanitizer into build-asan/ or build-tsan/ and runs the whole test
+# suite there, including the tests with real daemons.
 #   [JOBS=N] Tools/sanitize.sh address|thread [CTEST_OPTION...]
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -14,9 +14,9 @@
   exit 2
   ;;
 esac
-# The first report ends the process by SIGABRT: no test expects that, also not of
-# a daemon that it starts. Freed memory is kept out of use up to 64 MB a process,
-# also by daemons built for VMs, whose own defaults keep less.
+# The first report aborts the process with SIGABRT, which no test expects of itself
+# or of a daemon that it starts. Up to 64 MB of freed memory per process stay in
+# quarantine, also in daemons built for VMs, whose own defaults retain less.
 export ASAN_OPTIONS="abort_on_error=1:detect_stack_use_after_return=1:quarantine_size_mb=64:thread_local_quarantine_size_kb=256:max_redzone=2048:malloc_context_size=30${ASAN_OPTIONS:+:$ASAN_OPTIONS}"
 export TSAN_OPTIONS="abort_on_error=1:halt_on_error=1:second_deadlock_stack=1:suppressions=$PWD/Tools/thread-sanitizer.supp${TSAN_OPTIONS:+:$TSAN_OPTIONS}"
 cmake -G Ninja -B "$Build" -DCMAKE_BUILD_TYPE=Release \
--- a/Tools/test.sh
+++ b/Tools/test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs, builds and passes all tests.
+# Installs packages, builds, and runs all tests.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 Tools/install.sh
