--- a/FailureTests/ChildProcess.cpp
+++ b/FailureTests/ChildProcess.cpp
@@ -16,22 +16,23 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-extern char **environ; // NOLINT: the name is POSIX's.
+extern char **environ; // NOLINT: POSIX specifies this name.
 
 namespace samphireshunt::tests {
 
 namespace {
 
-/// Opens each report of a sanitizer, after "ERROR: " or "WARNING: ".
-const std::string ReportMark = "Sanitizer: ";
+/// Appears in the first line of every sanitizer report, after "ERROR: " or
+/// "WARNING: ".
+const std::string SanitizerMarker = "Sanitizer: ";
 
-std::size_t sizeOf(const std::string &Path) {
-  std::error_code Missing;
-  auto Size = std::filesystem::file_size(Path, Missing);
-  return Missing ? 0 : Size;
+std::size_t fileSize(const std::string &Path) {
+  std::error_code Error;
+  auto Size = std::filesystem::file_size(Path, Error);
+  return Error ? 0 : Size;
 }
 
-std::string endText(int Status) {
+std::string exitDescription(int Status) {
   if (WIFEXITED(Status))
     return fmt::format("exit status {}", WEXITSTATUS(Status));
   return fmt::format("signal {} ({})", WTERMSIG(Status),
@@ -43,10 +44,10 @@
 ChildProcess::ChildProcess(const std::vector<std::string> &Command,
                            const std::string &LogPath)
     : Program_(std::filesystem::path(Command[0]).filename().string()),
-      LogPath_(LogPath), LogBegin_(sizeOf(LogPath)) {
+      LogPath_(LogPath), LogBegin_(fileSize(LogPath)) {
   int Pipe[2];
   if (::pipe2(Pipe, O_CLOEXEC) != 0)
-    throw std::runtime_error("no pipe");
+    throw std::runtime_error("cannot create a pipe");
   constexpr int LogPermissions = 0644;
   posix_spawn_file_actions_t Actions;
   posix_spawn_file_actions_init(&Actions);
@@ -55,9 +56,10 @@
                                    O_CREAT | O_WRONLY | O_APPEND,
                                    LogPermissions);
   std::vector<char *> Arguments;
-  std::ranges::transform(
-      Command, std::back_inserter(Arguments),
-      [](const std::string &Word) { return const_cast<char *>(Word.c_str()); });
+  std::ranges::transform(Command, std::back_inserter(Arguments),
+                         [](const std::string &Argument) {
+                           return const_cast<char *>(Argument.c_str());
+                         });
   Arguments.push_back(nullptr);
   int Error = ::posix_spawn(&Pid_, Arguments[0], &Actions, nullptr,
                             Arguments.data(), environ);
@@ -67,7 +69,7 @@
   if (Error == 0)
     return;
   ::close(Output_);
-  throw std::runtime_error("can't start " + Command[0]);
+  throw std::runtime_error("cannot start " + Command[0]);
 }
 
 ChildProcess::~ChildProcess() {
@@ -85,15 +87,15 @@
   int Status = 0;
   ::waitpid(Pid_, &Status, 0);
   throw std::runtime_error(
-      describe("ended before it told its addresses: " + reap(Status)));
+      describe("ended before it reported its addresses: " + reap(Status)));
 }
 
 std::string ChildProcess::readAll() {
   std::string Text;
-  char Space[4096];
+  char Buffer[4096];
   ssize_t Count = 0;
-  while ((Count = ::read(Output_, Space, sizeof(Space))) > 0)
-    Text.append(Space, static_cast<std::size_t>(Count));
+  while ((Count = ::read(Output_, Buffer, sizeof(Buffer))) > 0)
+    Text.append(Buffer, static_cast<std::size_t>(Count));
   return Text;
 }
 
@@ -107,7 +109,8 @@
 void ChildProcess::kill() {
   if (Pid_ <= 0)
     return;
-  // One that has ended already keeps the status that it ended with.
+  // The signal has no effect on a process that has already exited: waitpid()
+  // still returns its original exit status.
   signal(SIGKILL);
   int Status = 0;
   ::waitpid(Pid_, &Status, 0);
@@ -133,7 +136,7 @@
 
 std::string ChildProcess::reap(int Status) {
   Pid_ = -1;
-  return endText(Status);
+  return exitDescription(Status);
 }
 
 bool ChildProcess::askedToEnd() const {
@@ -141,23 +144,24 @@
 }
 
 void ChildProcess::checkEnd(int Status) {
-  std::string End = reap(Status);
+  std::string Description = reap(Status);
   bool Expected = WIFEXITED(Status) ? WEXITSTATUS(Status) == 0 && askedToEnd()
                                     : Sent_.contains(WTERMSIG(Status));
   if (!Expected)
-    return testHooks().Fail_(describe("ended by itself: " + End));
-  // It may have been about to end by itself when the test ended it.
+    return testHooks().Fail_(describe("ended by itself: " + Description));
+  // The process may already have been failing when the test ended it, so its
+  // log is checked for sanitizer reports even after an expected end.
   checkReports();
 }
 
 void ChildProcess::checkReports() const {
-  if (logTail(LogPath_, LogBegin_).find(ReportMark) != std::string::npos)
-    testHooks().Fail_(describe("has a sanitizer's report"));
+  if (logTail(LogPath_, LogBegin_).find(SanitizerMarker) != std::string::npos)
+    testHooks().Fail_(describe("wrote a sanitizer report"));
 }
 
-std::string ChildProcess::describe(const std::string &What) const {
-  return fmt::format("{} {}; the end of {}:\n{}", Program_, What, LogPath_,
-                     logTail(LogPath_, LogBegin_));
+std::string ChildProcess::describe(const std::string &Problem) const {
+  return fmt::format("{} {}; last lines of {}:\n{}", Program_, Problem,
+                     LogPath_, logTail(LogPath_, LogBegin_));
 }
 
 } // namespace samphireshunt::tests
--- a/FailureTests/ChildProcess.h
+++ b/FailureTests/ChildProcess.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// A process of a failure test.
+/// A child process started by a failure test.
 
 #include <nlohmann/json.hpp>
 
@@ -11,50 +11,56 @@
 
 namespace samphireshunt::tests {
 
-/// Started on construction; killed on destruction, if it still runs.
+/// Starts a process on construction and kills it on destruction if it is still
+/// running.
 ///
-/// A process that ends by itself fails the test (TestHooks::Fail_), also when
-/// the test never looks at it: callers and other daemons hide such an end. It
-/// ends as it should only if the test kills it, sends it the signal that it
-/// ends by, or asks for its end by SIGTERM or SIGINT and it exits with 0.
+/// An unexpected end of the process fails the test (TestHooks::Fail_), even if
+/// the test never checks this process: callers and the other daemons would
+/// otherwise hide a crash. The end is expected only if the test killed the
+/// process, if the process died from a signal that the test sent, or if it
+/// exited with status 0 after the test sent SIGTERM or SIGINT.
 class ChildProcess {
 public:
-  /// Runs \p Command; its standard error goes to \p LogPath.
+  /// Runs \p Command and appends its standard error to \p LogPath. Throws
+  /// std::runtime_error if the process cannot be started.
   ChildProcess(const std::vector<std::string> &Command,
                const std::string &LogPath);
   ~ChildProcess();
   ChildProcess(const ChildProcess &) = delete;
   ChildProcess &operator=(const ChildProcess &) = delete;
 
-  /// Waits for the next line that it writes. Throws at its end, with how it
-  /// ended and the end of its log.
+  /// Waits for the next line on the standard output and parses it as JSON.
+  /// Throws std::runtime_error if the process ends first; the message contains
+  /// the exit status and the last lines of its log.
   nlohmann::json readLine();
-  /// All that it still writes, until its end.
+  /// Reads the remaining standard output until it is closed.
   std::string readAll();
   void signal(int Number);
   void kill();
   void freeze();
   void wake();
-  /// Waits for its end, which the caller must judge if it is an exit.
-  /// \returns the exit status; -1 after a signal.
+  /// Waits for the process to end. The caller has to check the exit status; a
+  /// death by a signal that the test did not send fails the test.
+  /// \returns the exit status, or -1 if a signal ended the process.
   [[nodiscard]] int wait();
   bool running() const { return Pid_ > 0; }
 
 private:
-  /// Takes note of its end. \returns how it ended.
+  /// Marks the process as ended. \returns a description of the wait \p Status.
   std::string reap(int Status);
   bool askedToEnd() const;
   void checkEnd(int Status);
   void checkReports() const;
-  std::string describe(const std::string &What) const;
+  std::string describe(const std::string &Problem) const;
 
   std::string Program_;
   std::string LogPath_;
-  /// Where its own lines begin: several processes may write one log in turn.
+  /// Offset in bytes of the first log line of this process: several processes
+  /// may append to the same log one after another.
   std::size_t LogBegin_ = 0;
   pid_t Pid_ = -1;
   int Output_ = -1;
-  std::set<int> Sent_; ///< Signals from the test.
+  std::set<int> Sent_; ///< Signals that the test sent.
 };
 
 } // namespace samphireshunt::tests
--- a/FailureTests/Cluster.cpp
+++ b/FailureTests/Cluster.cpp
@@ -31,9 +31,9 @@
     startDaemon(Number);
   listVms();
   if (int Status = apply(document()); Status != 0)
-    throw std::runtime_error(
-        fmt::format("the document was not accepted: exit status {}, {}", Status,
-                    logTail(folder() + "/tool.log")));
+    throw std::runtime_error(fmt::format(
+        "the configuration document was rejected: exit status {}, {}", Status,
+        logTail(folder() + "/tool.log")));
   awaitReady();
 }
 
@@ -82,10 +82,10 @@
   std::string Name = fmt::format("vm-{}", Number);
   std::string Platform = address("platform");
   if (Options_.PlatformRelays_) {
-    std::string Way = fmt::format("platform-relay-{}", Number);
-    startRelay(Way);
-    faults(Way, {{"mode", "pass"}, {"target", Platform}});
-    Platform = RelayLines_[Way]["address"].get<std::string>();
+    std::string PlatformRelay = fmt::format("platform-relay-{}", Number);
+    startRelay(PlatformRelay);
+    faults(PlatformRelay, {{"mode", "pass"}, {"target", Platform}});
+    Platform = RelayLines_[PlatformRelay]["address"].get<std::string>();
   }
   std::vector<std::string> Command = {PROGRAM_FOLDER "/samphireshuntd",
                                       "--vm_id=" + Name,
@@ -103,11 +103,12 @@
     Command.push_back("--advertise_peers=" +
                       RelayLines_[RelayName]["address"].get<std::string>());
   }
-  // A VM that comes back has the addresses that it had.
-  if (auto Before = Lines_.find(Name); Before != Lines_.end())
+  // A restarted VM reuses its previous addresses.
+  if (auto Previous = Lines_.find(Name); Previous != Lines_.end())
     for (std::string Field : {"callers", "peers", "operators"})
-      Command.push_back(fmt::format("--{}_address={}", Field,
-                                    Before->second[Field].get<std::string>()));
+      Command.push_back(
+          fmt::format("--{}_address={}", Field,
+                      Previous->second[Field].get<std::string>()));
   std::ranges::copy(Options_.DaemonFlags_, std::back_inserter(Command));
   Processes_[Name].reset();
   startProcess(Name, std::move(Command));
@@ -187,8 +188,8 @@
   Json Answer = request(Name, Path, "POST", Body.dump());
   int Status = Answer.is_object() ? Answer.value("httpStatus", 0) : 0;
   if (Status != 200)
-    throw std::runtime_error(fmt::format("{} did not take {}: status {}", Name,
-                                         Body.dump(), Status));
+    throw std::runtime_error(
+        fmt::format("{} rejected {}: status {}", Name, Body.dump(), Status));
 }
 
 Json Cluster::status(int Daemon) {
@@ -238,21 +239,22 @@
   std::string Path = folder() + "/document.yaml";
   std::ofstream(Path) << Document.dump(2);
   bool IsDaemon = Server.starts_with("vm-");
-  std::vector<std::string> Words = {
+  std::vector<std::string> Arguments = {
       "apply", Path,
       "--server=" + address(Server, IsDaemon ? "operators" : "address")};
-  std::ranges::copy(Flags, std::back_inserter(Words));
-  return tool(std::move(Words)).first;
+  std::ranges::copy(Flags, std::back_inserter(Arguments));
+  return tool(std::move(Arguments)).first;
 }
 
-std::pair<int, std::string> Cluster::tool(std::vector<std::string> Words) {
-  Words.insert(Words.begin(), PROGRAM_FOLDER "/samphireshuntctl");
-  bool HasServer = std::ranges::any_of(Words, [](const std::string &Word) {
-    return Word.starts_with("--server=");
-  });
+std::pair<int, std::string> Cluster::tool(std::vector<std::string> Arguments) {
+  Arguments.insert(Arguments.begin(), PROGRAM_FOLDER "/samphireshuntctl");
+  bool HasServer =
+      std::ranges::any_of(Arguments, [](const std::string &Argument) {
+        return Argument.starts_with("--server=");
+      });
   if (!HasServer)
-    Words.push_back("--server=" + address("platform"));
-  ChildProcess Tool(Words, folder() + "/tool.log");
+    Arguments.push_back("--server=" + address("platform"));
+  ChildProcess Tool(Arguments, folder() + "/tool.log");
   std::string Output = Tool.readAll();
   return {Tool.wait(), std::move(Output)};
 }
@@ -268,7 +270,7 @@
 std::string Cluster::notReady(const std::string &Name, const Json &Status,
                               std::size_t Started) const {
   if (!Status.is_object())
-    return Name + " does not tell its status";
+    return Name + " does not report its status";
   if (!Status.value("ready", false))
     return fmt::format("{} is not ready: {}", Name, Status.dump());
   auto Alive =
@@ -276,13 +278,14 @@
         return Member["status"] == "alive";
       });
   if (static_cast<std::size_t>(Alive) + 1 < Started)
-    return fmt::format("{} knows of {} other daemons: {}", Name, Alive,
+    return fmt::format("{} sees only {} other daemons alive: {}", Name, Alive,
                        Status.at("members").dump());
   return {};
 }
 
-/// A new keeper listens before it grants: a request with a short time limit
-/// would be refused until then, and a test of what comes after its dispatch
+/// Also requires a granting keeper for every cell. A new keeper first collects
+/// what is running before it issues grants. Until then it would reject a
+/// request with a short timeout, and a test of what happens after the dispatch
 /// would test nothing.
 std::string Cluster::notReady() {
   std::vector<std::string> Running = runningDaemons();
@@ -290,27 +293,28 @@
   std::set<std::string> Granting;
   for (const std::string &Name : Running) {
     Json Status = request(Name, "/status");
-    if (std::string Missing = notReady(Name, Status, Running.size());
-        !Missing.empty())
-      return Missing;
+    if (std::string Problem = notReady(Name, Status, Running.size());
+        !Problem.empty())
+      return Problem;
     for (const Json &Cell : Status["cells"]) {
       bool Grants = Cell["keeper"].get<bool>() && !Cell["warming"].get<bool>();
       (Grants ? Granting : Waiting).insert(Cell["cell"].get<std::string>());
     }
   }
-  std::vector<std::string> Missing;
-  std::ranges::set_difference(Waiting, Granting, std::back_inserter(Missing));
-  return Missing.empty() ? "" : "nobody grants for " + joined(Missing);
+  std::vector<std::string> Ungranted;
+  std::ranges::set_difference(Waiting, Granting, std::back_inserter(Ungranted));
+  return Ungranted.empty() ? ""
+                           : "no keeper issues grants for " + joined(Ungranted);
 }
 
 void Cluster::awaitReady() {
-  std::string Missing;
+  std::string Problem;
   bool Ready = eventually([&] {
-    Missing = notReady();
-    return Missing.empty();
+    Problem = notReady();
+    return Problem.empty();
   });
   if (!Ready)
-    throw std::runtime_error("the cluster did not become ready: " + Missing);
+    throw std::runtime_error("the cluster did not become ready: " + Problem);
 }
 
 CallRequest Cluster::base(int Daemon) {
@@ -345,7 +349,7 @@
   Request.Mode_ = CallMode::Application;
   Request.Path_ = "/notes";
   Request.IdempotencyKey_ = IdempotencyKey;
-  // Repeats of a key are the same request.
+  // Retries with the same idempotency key have to be the same request.
   Request.Nonce_ = "note-" + IdempotencyKey;
   return Request;
 }
@@ -361,17 +365,17 @@
 }
 
 int Cluster::keeperOf(const std::string &Pool) {
-  // The keeper is the one daemon that lists the cell among its own.
+  // Only the keeper reports the cell with "keeper" set in its status.
   std::string Cell = "test/" + Pool + "/0";
   for (const auto &[Name, Process] : Processes_) {
     if (!Name.starts_with("vm-") || !Process || !Process->running())
       continue;
     Json Status = request(Name, "/status");
-    for (const Json &Kept : Status.value("cells", Json::array()))
-      if (Kept["cell"] == Cell && Kept.value("keeper", false))
+    for (const Json &CellStatus : Status.value("cells", Json::array()))
+      if (CellStatus["cell"] == Cell && CellStatus.value("keeper", false))
         return std::stoi(Name.substr(3));
   }
-  throw std::runtime_error("no daemon keeps " + Cell);
+  throw std::runtime_error("no daemon schedules " + Cell);
 }
 
 std::vector<standins::LedgerLine> Cluster::ledger() const {
