--- a/FailureTests/ClusterTest.cpp
+++ b/FailureTests/ClusterTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// The tests' own processes: what does not start says why, and what ends by
-/// itself fails the test.
+/// Tests of the test infrastructure: a process that cannot start reports the
+/// reason, and a process that ends unexpectedly fails the test.
 
 #include "FailureTests/Cluster.h"
 #include "FailureTests/TestHooks.h"
@@ -13,31 +13,31 @@
 
 namespace {
 
-/// Takes what would fail the test, as long as it lives.
-class TakenFailures {
+/// Captures test failures reported through the hooks during its lifetime.
+class CapturedFailures {
 public:
-  TakenFailures() : Before_(testHooks().Fail_) {
-    testHooks().Fail_ = [this](const std::string &What) {
-      Taken_.push_back(What);
+  CapturedFailures() : PreviousHook_(testHooks().Fail_) {
+    testHooks().Fail_ = [this](const std::string &Problem) {
+      Failures_.push_back(Problem);
     };
   }
-  ~TakenFailures() { testHooks().Fail_ = std::move(Before_); }
-  TakenFailures(const TakenFailures &) = delete;
-  TakenFailures &operator=(const TakenFailures &) = delete;
+  ~CapturedFailures() { testHooks().Fail_ = std::move(PreviousHook_); }
+  CapturedFailures(const CapturedFailures &) = delete;
+  CapturedFailures &operator=(const CapturedFailures &) = delete;
 
-  std::string text() const { return joined(Taken_); }
+  std::string text() const { return joined(Failures_); }
 
 private:
-  std::function<void(const std::string &)> Before_;
-  std::vector<std::string> Taken_;
+  std::function<void(const std::string &)> PreviousHook_;
+  std::vector<std::string> Failures_;
 };
 
-/// What fails the test that starts this shell script, does \p Act and leaves
-/// it; the script has written a line by then.
+/// Runs a shell script as a child process, calls \p Act with it and destroys
+/// it. \returns the failures reported meanwhile.
 std::string failuresOf(const std::string &Script,
                        const std::function<void(ChildProcess &)> &Act) {
   TestFolder Folder;
-  TakenFailures Failures;
+  CapturedFailures Failures;
   {
     ChildProcess Shell({"/bin/sh", "-c", Script}, Folder.path() + "/sh.log");
     Act(Shell);
@@ -53,34 +53,35 @@
   Process.readAll();
 }
 
-bool contains(const std::string &Text, const std::string &Part) {
-  return Text.find(Part) != std::string::npos;
+bool contains(const std::string &Text, const std::string &Expected) {
+  return Text.find(Expected) != std::string::npos;
 }
 
 } // namespace
 
 TEST_CASE("a cluster whose daemon can't start says why") {
-  // A run of the failure tests beside load ended with "terminate called
-  // without an active exception" and nothing else: the cluster threw while it
-  // was built, its thread was still running, and the program ended there. What
-  // had failed was never known.
+  // If the constructor of Cluster throws while its thread is still running, the
+  // destruction of that thread ends the program with "terminate called without
+  // an active exception". The exception, and with it the reason why a process
+  // did not start, would be lost.
   ClusterOptions Options;
   Options.DaemonFlags_ = {"--no_such_flag"};
-  std::string Why;
+  std::string Reason;
   try {
-    Cluster Fleet(Options);
+    Cluster TestCluster(Options);
   } catch (const std::exception &Error) {
-    Why = Error.what();
+    Reason = Error.what();
   }
-  CHECK_MESSAGE(contains(Why, "samphireshuntd ended"), Why);
-  CHECK_MESSAGE(contains(Why, "exit status 1"), Why);
-  CHECK_MESSAGE(contains(Why, "no_such_flag"), Why);
+  CHECK_MESSAGE(contains(Reason, "samphireshuntd ended"), Reason);
+  CHECK_MESSAGE(contains(Reason, "exit status 1"), Reason);
+  CHECK_MESSAGE(contains(Reason, "no_such_flag"), Reason);
 }
 
 TEST_CASE("a process that ends by itself fails the test that started it") {
-  // Daemons ended with a segmentation fault, one in some thousand requests.
-  // The failure tests passed all the while: a daemon that was gone at their
-  // end was killed like one that ran, and the others had served its callers.
+  // A daemon with a rare segmentation fault, about one in some thousand
+  // requests, would go unnoticed: the other daemons serve its callers, and
+  // killing the crashed process at the end of the test looks the same as
+  // killing a running one.
   CHECK(contains(failuresOf("echo last words >&2; kill -SEGV $$", awaitEnd),
                  "ended by itself: signal 11"));
   CHECK(contains(failuresOf("echo last words >&2; exit 3", awaitEnd),
@@ -92,7 +93,7 @@
       "ended by itself: exit status 1"));
 }
 
-TEST_CASE("a process that the test ends does not fail it") {
+TEST_CASE("a process that the test ends does not fail the test") {
   auto Leave = [](ChildProcess &) {};
   CHECK(failuresOf("exec sleep 600", Leave).empty());
   CHECK(failuresOf("trap 'exit 0' TERM; echo 1; while :; do :; done", stop)
@@ -104,8 +105,8 @@
   CHECK(failuresOf("exec sleep 600", Crash).empty());
 }
 
-TEST_CASE("a sanitizer's report fails the test also when the test kills the "
-          "process meanwhile") {
+TEST_CASE("a sanitizer's report fails the test even if the test then kills "
+          "the process") {
   auto Report = [](ChildProcess &Process) { Process.readLine(); };
   CHECK(contains(failuresOf("echo '==1==ERROR: AddressSanitizer: some-error' "
                             ">&2; echo 1; while :; do :; done",
--- a/FailureTests/CombinedTest.cpp
+++ b/FailureTests/CombinedTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Several failures at once, and the same one twice, under a mixed load. What
-/// callers get may differ from run to run; that no promise breaks may not.
+/// Several failures at the same time, and repeated ones, under a mixed load.
+/// The outcomes may differ from run to run, but no guarantee may be violated.
 
 #include "FailureTests/Cluster.h"
 
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// A load of all kinds of requests, sent while failures come and go.
+/// Sends random requests of all kinds while failures are injected.
 class MixedLoad {
 public:
   MixedLoad(Cluster &Fleet, std::uint64_t Seed)
@@ -23,15 +23,15 @@
 
   void send(int Count) {
     for (int Index = 0; Index < Count; ++Index)
-      Calls_.push_back(Fleet_.start(next()));
+      Calls_.push_back(Fleet_.start(nextRequest()));
   }
-  std::vector<CallRecord> finishAll() { return finish(Calls_); }
+  std::vector<CallRecord> finishCalls() { return finish(Calls_); }
   int pick(int Count) {
     return static_cast<int>(Random_(static_cast<std::uint32_t>(Count)));
   }
 
 private:
-  CallRequest next() {
+  CallRequest nextRequest() {
     int Daemon = 1 + pick(3);
     CallRequest Request = Fleet_.stream(Daemon);
     switch (pick(4)) {
@@ -42,7 +42,7 @@
       Request = Fleet_.reading(Daemon);
       break;
     case 2:
-      // Every key comes about three times, at any daemons.
+      // Each key is used about three times, at random daemons.
       Request = Fleet_.note(Daemon, fmt::format("mixed-{}", pick(60)));
       break;
     default:
@@ -61,7 +61,7 @@
 
 using Failure = std::function<void(Cluster &, MixedLoad &)>;
 
-void freezeOne(Cluster &Fleet, MixedLoad &Load) {
+void freezeDaemon(Cluster &Fleet, MixedLoad &Load) {
   std::string Name = fmt::format("vm-{}", 1 + Load.pick(3));
   Fleet.process(Name).freeze();
   Load.send(15);
@@ -69,14 +69,14 @@
   Fleet.process(Name).wake();
 }
 
-void killAndStart(Cluster &Fleet, MixedLoad &Load) {
+void restartDaemon(Cluster &Fleet, MixedLoad &Load) {
   int Number = 1 + Load.pick(3);
   Fleet.process(fmt::format("vm-{}", Number)).kill();
   Load.send(15);
   Fleet.startDaemon(Number);
 }
 
-void cutAndHeal(Cluster &Fleet, MixedLoad &Load) {
+void interruptLink(Cluster &Fleet, MixedLoad &Load) {
   std::string Name = fmt::format("relay-{}", 1 + Load.pick(3));
   Fleet.faults(Name, {{"mode", Load.pick(2) == 0 ? "silent" : "refuse"}});
   Load.send(15);
@@ -84,7 +84,7 @@
   Fleet.faults(Name, {{"mode", "pass"}});
 }
 
-void platformFails(Cluster &Fleet, MixedLoad &Load) {
+void failPlatform(Cluster &Fleet, MixedLoad &Load) {
   Fleet.faults("platform", {{"outage", true}});
   Load.send(10);
   std::this_thread::sleep_for(milliseconds(300));
@@ -94,7 +94,7 @@
   Fleet.faults("platform", Json::object());
 }
 
-void enginesMisbehave(Cluster &Fleet, MixedLoad &Load) {
+void failEngines(Cluster &Fleet, MixedLoad &Load) {
   for (const char *Name : {"model-1", "model-2"})
     Fleet.faults(Name, {{"cut", 2}, {"silent", 1}, {"swallow", 1}});
   Fleet.faults("app-1", {{"cut", 1}, {"lateMs", 100}, {"refuse", 1}});
@@ -105,13 +105,12 @@
 
 } // namespace
 
-TEST_CASE("no promise breaks when failures come together and again") {
-  // Symptom: an answer lost, doubled, crossed or untrue after a bad hour.
-  // Sequence: freezes, kills, cuts, outages and engine faults follow one
-  // another while earlier ones are not over.
-  // Cause: each is handled alone; what is handled twice at once may not be.
-  const std::vector<Failure> Failures = {freezeOne, killAndStart, cutAndHeal,
-                                         platformFails, enginesMisbehave};
+TEST_CASE("no guarantee is violated under repeated and overlapping failures") {
+  // Guards against lost, duplicated, swapped or false answers when freezes,
+  // kills, broken links, outages and engine faults overlap: code that handles
+  // each failure alone may not handle two of them at the same time.
+  const std::vector<Failure> Failures = {
+      freezeDaemon, restartDaemon, interruptLink, failPlatform, failEngines};
   for (std::uint64_t Seed : {11U, 12U, 13U}) {
     ClusterOptions Options;
     Options.Relays_ = true;
@@ -124,7 +123,7 @@
           Load.pick(static_cast<int>(Failures.size())));
       Failures[Kind](Fleet, Load);
     }
-    auto Records = Load.finishAll();
+    auto Records = Load.finishCalls();
     CHECK(countOutcome(Records, "answered") > Records.size() / 3);
     auto Violations = Fleet.violations({.DaemonsKilled_ = true});
     CHECK_MESSAGE(Violations.empty(), joined(Violations));
--- a/FailureTests/ContextThread.h
+++ b/FailureTests/ContextThread.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// An event loop on a thread of its own.
+/// An event loop that runs on its own thread.
 
 #include <boost/asio/executor_work_guard.hpp>
 #include <boost/asio/io_context.hpp>
@@ -9,9 +9,10 @@
 
 namespace samphireshunt::tests {
 
-/// Runs from construction to destruction. Joins its thread also when the
-/// constructor of what it is a member of throws: an std::thread that is not
-/// joined ends the program there, and hides the exception.
+/// Runs the event loop from construction to destruction. As a member, it joins
+/// the thread even if the constructor of the owning class throws: destroying an
+/// std::thread that was not joined terminates the program and hides the
+/// exception.
 class ContextThread {
 public:
   ContextThread()
--- a/FailureTests/DispatchOnceTest.cpp
+++ b/FailureTests/DispatchOnceTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Promise: a request is dispatched to a backend server at most once.
+/// Guarantee: a request is dispatched to a backend server at most once.
 
 #include "FailureTests/Cluster.h"
 
@@ -22,8 +22,8 @@
   return Calls;
 }
 
-/// Requests that wait for a model engine at their keeper.
-int waitingAt(Cluster &Fleet, int Keeper) {
+/// \returns the number of requests that wait for a model engine at \p Keeper.
+int waitingRequests(Cluster &Fleet, int Keeper) {
   Json Status = Fleet.status(Keeper);
   for (const Json &Cell : Status["cells"])
     if (Cell["cell"] == "test/models/0")
@@ -33,10 +33,10 @@
 
 } // namespace
 
-TEST_CASE("an engine that dies is not replaced by another for its requests") {
-  // Symptom: a caller gets its answer, yet two engines worked on it.
-  // Sequence: requests run on two engines; one is killed in mid-answer.
-  // Cause: a daemon that sends a request again after a byte of it had left.
+TEST_CASE("requests at an engine that dies are not sent to another engine") {
+  // An engine is killed while it answers. A daemon that resends a request after
+  // any byte of it was sent would make two engines work on it, although the
+  // caller sees one answer.
   Cluster Fleet;
   auto Calls = startStreams(Fleet, 12, 100);
   REQUIRE(eventually([&] { return Fleet.ledgerCount("ran") >= 12; }));
@@ -50,10 +50,11 @@
   CHECK_MESSAGE(Fleet.violations().empty(), joined(Fleet.violations()));
 }
 
-TEST_CASE("a request lost on a silent connection is proved not run") {
-  // Symptom: a caller waits until its deadline, or its request runs twice.
-  // Sequence: the request's bytes vanish on a connection that stays open.
-  // Cause: something between daemon and engine lost track of the connection.
+TEST_CASE("a request lost on a silent connection is proven not run") {
+  // A middlebox between daemon and engine lost the state of the connection: the
+  // connection stays open, but the bytes of the request never arrive. Without a
+  // proof that the request did not run, the caller would wait until its
+  // deadline or the request could run twice.
   Cluster Fleet;
   Fleet.faults("model-1", {{"swallow", 1}});
   Fleet.faults("model-2", {{"swallow", 1}});
@@ -65,17 +66,17 @@
 }
 
 TEST_CASE("requests that wait at a keeper that dies are granted by the next") {
-  // Symptom: requests wait until their deadline although engines are free.
-  // Sequence: requests wait for grants; their keeper is killed.
-  // Cause: the queue lived in the keeper's memory only.
+  // The keeper is killed while requests wait for grants. Its queue exists only
+  // in its memory, so without a new grant request to the next keeper they would
+  // wait until their deadlines although engines are free.
   ClusterOptions Options;
   Options.MaxInFlight_ = 1;
   Cluster Fleet(Options);
   int Keeper = Fleet.keeperOf("models");
   std::vector<std::future<CallRecord>> Calls;
   for (int Index = 0; Index < 12; ++Index) {
-    int Entry = 1 + (Keeper + Index % 2) % 3;
-    CallRequest Request = Fleet.chat(Entry);
+    int Ingress = 1 + (Keeper + Index % 2) % 3;
+    CallRequest Request = Fleet.chat(Ingress);
     Request.MaxTokens_ = 40;
     Calls.push_back(Fleet.start(std::move(Request)));
   }
@@ -87,10 +88,9 @@
 }
 
 TEST_CASE("a frozen keeper's requests are granted by the next") {
-  // Symptom: as above, but no connection breaks.
-  // Sequence: the keeper is stopped, later wakes and goes on granting.
-  // Cause: a paused process keeps its connections open, and does not know
-  // that it was paused.
+  // The keeper is paused and later resumes issuing grants. A paused process
+  // keeps its connections open, so no connection error reveals the failure, and
+  // the process does not notice that it was paused.
   ClusterOptions Options;
   Options.MaxInFlight_ = 1;
   Cluster Fleet(Options);
@@ -111,32 +111,32 @@
   CHECK_MESSAGE(Fleet.violations().empty(), joined(Fleet.violations()));
 }
 
-TEST_CASE("an entry that is frozen past the deadline dispatches nothing") {
-  // Symptom: a request runs long after its caller gave up.
-  // Sequence: requests wait at an entry; it is stopped, engines become free,
-  // the deadlines pass, it wakes with grants in its sockets.
-  // Cause: a grant that is older than the deadline is still a grant.
+TEST_CASE("an ingress daemon frozen past the deadline dispatches nothing") {
+  // Requests wait at an ingress daemon that is paused until their deadlines
+  // have passed. It resumes with grants in its socket buffers. If it used them,
+  // the requests would run long after their callers gave up.
   ClusterOptions Options;
   Options.MaxInFlight_ = 1;
   Options.Models_ = 1;
   Options.StepMs_ = 10;
   Cluster Fleet(Options);
   int Keeper = Fleet.keeperOf("models");
-  int Entry = 1 + Keeper % 3;
+  int Ingress = 1 + Keeper % 3;
   CallRequest Long = Fleet.chat(Keeper);
   Long.MaxTokens_ = 200; // Two seconds.
   auto First = Fleet.start(Long);
   REQUIRE(eventually([&] { return Fleet.ledgerCount("ran") == 1; }));
   std::vector<std::future<CallRecord>> Calls;
   for (int Index = 0; Index < 4; ++Index) {
-    CallRequest Request = Fleet.chat(Entry);
+    CallRequest Request = Fleet.chat(Ingress);
     Request.Timeout_ = milliseconds(4000);
     Calls.push_back(Fleet.start(std::move(Request)));
   }
-  // All wait at the keeper: their deadlines count from before the freeze. A
-  // request that was read but not yet looked at would count from the waking.
-  REQUIRE(eventually([&] { return waitingAt(Fleet, Keeper) == 4; }));
-  std::string Name = fmt::format("vm-{}", Entry);
+  // All requests must wait at the keeper before the freeze, so that their
+  // deadlines are counted from then. The deadline of a request that was read
+  // but not yet processed would be counted from the end of the freeze.
+  REQUIRE(eventually([&] { return waitingRequests(Fleet, Keeper) == 4; }));
+  std::string Name = fmt::format("vm-{}", Ingress);
   Fleet.process(Name).freeze();
   REQUIRE(Fleet.ledgerCount("received") == 1);
   CHECK(First.get().Outcome_ == "answered");
--- a/FailureTests/DoctestHooks.cpp
+++ b/FailureTests/DoctestHooks.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Connects the hooks with doctest; part of every program of failure tests.
+/// Connects the test hooks with doctest. Linked into every failure test
+/// program.
 
 #include "FailureTests/TestFolder.h"
 #include "FailureTests/TestHooks.h"
@@ -16,12 +17,13 @@
 
 namespace {
 
-/// Removes a test's folders at its end. When it failed they are kept, and the
-/// ends of their logs are told: the cause is often in a daemon's log.
-class FolderKeeper : public doctest::IReporter {
+/// Removes the folders of a test at its end. If the test failed, the folders
+/// are retained and the last lines of their logs are printed: the cause is
+/// often in the log of a daemon.
+class FolderCleanup : public doctest::IReporter {
 public:
-  explicit FolderKeeper(const doctest::ContextOptions &) {
-    testHooks().Fail_ = [](const std::string &What) { FAIL_CHECK(What); };
+  explicit FolderCleanup(const doctest::ContextOptions &) {
+    testHooks().Fail_ = [](const std::string &Problem) { FAIL_CHECK(Problem); };
     testHooks().LeaveFolder_ = [this](const std::string &Path) {
       Folders_.push_back(Path);
     };
@@ -30,8 +32,8 @@
   void test_case_end(const doctest::CurrentTestCaseStats &Stats) override {
     for (const std::string &Path : Folders_) {
       if (Stats.failure_flags != 0) {
-        fmt::print(stderr, "the test failed; its folder is kept: {}\n{}", Path,
-                   logTails(Path));
+        fmt::print(stderr, "the test failed; its folder is retained: {}\n{}",
+                   Path, logTails(Path));
         continue;
       }
       std::error_code Ignored;
@@ -56,7 +58,7 @@
   std::vector<std::string> Folders_;
 };
 
-REGISTER_LISTENER("failure-tests", 1, FolderKeeper);
+REGISTER_LISTENER("failure-tests", 1, FolderCleanup);
 
 } // namespace
 
--- a/FailureTests/LeavingTest.cpp
+++ b/FailureTests/LeavingTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Promises: a leaving backend server gets no new work after a few seconds;
-/// every planned stop is graceful.
+/// Guarantees: a leaving backend server gets no new work after a few seconds,
+/// and every planned stop is graceful.
 
 #include "FailureTests/Cluster.h"
 
@@ -18,9 +18,9 @@
 
 Json withLeaving(Json Document, const std::string &Server) {
   for (Json &Pool : Document["pools"])
-    for (Json &Entry : Pool["servers"])
-      if (Entry["name"] == Server)
-        Entry["state"] = "leaving";
+    for (Json &ServerEntry : Pool["servers"])
+      if (ServerEntry["name"] == Server)
+        ServerEntry["state"] = "leaving";
   return Document;
 }
 
@@ -32,7 +32,7 @@
       }));
 }
 
-/// True while a keeper would grant this model engine.
+/// \returns whether any daemon reports the model engine as usable.
 bool usableAnywhere(Cluster &Fleet, const std::string &Engine) {
   for (int Daemon = 1; Daemon <= 3; ++Daemon) {
     Json Status = Fleet.status(Daemon);
@@ -44,7 +44,7 @@
   return false;
 }
 
-void serveMany(Cluster &Fleet, int Count) {
+void checkAllAnswered(Cluster &Fleet, int Count) {
   std::vector<std::future<CallRecord>> Calls;
   for (int Index = 0; Index < Count; ++Index)
     Calls.push_back(Fleet.start(Fleet.chat(1 + Index % 3)));
@@ -57,10 +57,9 @@
 } // namespace
 
 TEST_CASE("a server that the document lets leave gets no new work") {
-  // Symptom: a server that was drained for hours still gets a request.
-  // Sequence: requests wait, some granted for the server, when the document
-  // sets it to leaving.
-  // Cause: a grant or a snapshot from before the change was still used.
+  // The document marks a server as leaving while requests wait, some of them
+  // with a grant for that server. If a grant or snapshot from before the change
+  // were still used, a server that has long been drained could get a request.
   ClusterOptions Options;
   Options.MaxInFlight_ = 1;
   Cluster Fleet(Options);
@@ -70,19 +69,18 @@
   REQUIRE(eventually([&] { return receivedBy(Fleet, "model-1") > 0; }));
   REQUIRE(Fleet.apply(withLeaving(Fleet.document(), "model-1"), {"--wait"}) ==
           0);
-  std::size_t Before = receivedBy(Fleet, "model-1");
+  std::size_t ReceivedBefore = receivedBy(Fleet, "model-1");
   auto Records = finish(Calls);
   CHECK_MESSAGE(countOutcome(Records, "answered") == 30, unanswered(Records));
-  serveMany(Fleet, 12);
-  CHECK(receivedBy(Fleet, "model-1") <= Before + 1);
+  checkAllAnswered(Fleet, 12);
+  CHECK(receivedBy(Fleet, "model-1") <= ReceivedBefore + 1);
   CHECK_MESSAGE(Fleet.violations().empty(), joined(Fleet.violations()));
 }
 
 TEST_CASE("a change reaches daemons that are cut off from the platform") {
-  // Symptom: one daemon goes on sending to a server that left.
-  // Sequence: two daemons lose the platform; the document sets a server to
-  // leaving; the platform then fails for all.
-  // Cause: each daemon learns of changes from the platform alone.
+  // Two daemons lose the platform, the document marks a server as leaving, and
+  // then the platform fails for all daemons. If daemons learned of changes only
+  // from the platform, these two would keep sending to a server that left.
   ClusterOptions Options;
   Options.PlatformRelays_ = true;
   Cluster Fleet(Options);
@@ -91,30 +89,30 @@
   REQUIRE(Fleet.apply(withLeaving(Fleet.document(), "model-1"), {"--wait"}) ==
           0);
   Fleet.faults("platform", {{"outage", true}});
-  std::size_t Before = receivedBy(Fleet, "model-1");
-  serveMany(Fleet, 12);
-  CHECK(receivedBy(Fleet, "model-1") == Before);
+  std::size_t ReceivedBefore = receivedBy(Fleet, "model-1");
+  checkAllAnswered(Fleet, 12);
+  CHECK(receivedBy(Fleet, "model-1") == ReceivedBefore);
 }
 
 TEST_CASE("a server that the platform's list lets leave gets no new work") {
-  // Symptom: requests go to a VM that the platform is about to take away.
-  // Sequence: the list, which lags, shows the VM as leaving.
-  // Cause: only the document was asked whether a server may get work.
+  // Only the platform's list, which lags, shows the VM as leaving. If daemons
+  // checked only the document, requests would go to a VM that the platform is
+  // about to remove.
   Cluster Fleet;
-  serveMany(Fleet, 12);
+  checkAllAnswered(Fleet, 12);
   Fleet.listLeaving({"model-1"});
   CHECK(eventually([&] { return !usableAnywhere(Fleet, "model-1"); },
                    milliseconds(5000)));
-  std::size_t Before = receivedBy(Fleet, "model-1");
-  serveMany(Fleet, 12);
-  CHECK(receivedBy(Fleet, "model-1") == Before);
+  std::size_t ReceivedBefore = receivedBy(Fleet, "model-1");
+  checkAllAnswered(Fleet, 12);
+  CHECK(receivedBy(Fleet, "model-1") == ReceivedBefore);
 }
 
-TEST_CASE("a graceful stop of the keeper and entry cuts nothing") {
-  // Symptom: during a planned restart a caller's stream breaks off.
-  // Sequence: SIGTERM to a daemon that keeps cells, with requests waiting,
-  // streaming and still coming.
-  // Cause: the process ended, or refused, before its work was done.
+TEST_CASE(
+    "a graceful stop of a daemon that is keeper and ingress cuts nothing") {
+  // A daemon that schedules cells gets SIGTERM while requests wait, stream and
+  // still arrive. If it exited or rejected requests before its work was done, a
+  // planned restart would break the streams of callers.
   ClusterOptions Options;
   Options.MaxInFlight_ = 2;
   Cluster Fleet(Options);
@@ -128,7 +126,7 @@
   REQUIRE(eventually([&] { return Fleet.ledgerCount("ran") >= 4; }));
   std::string Name = fmt::format("vm-{}", Keeper);
   Fleet.process(Name).signal(SIGTERM);
-  // The balancer sends on for a while.
+  // The load balancer still sends requests for a while.
   REQUIRE(eventually(
       [&] { return Fleet.status(Keeper).value("draining", false); }));
   for (int Index = 0; Index < 3; ++Index)
@@ -140,9 +138,10 @@
 }
 
 TEST_CASE("a stop that comes due while the daemon pauses cuts nothing") {
-  // Two streams of twelve were cut at a daemon that was stopped beside load:
-  // one of its threads was not let run for 0.6 s, and with it lay unread what
-  // callers had sent. The daemon counted no request as running, and ended.
+  // On a loaded machine a thread of a stopping daemon may not be scheduled for
+  // some time (0.6 s in one failure), and the requests that callers have sent
+  // to it stay unread. If the daemon then counts no request as running and
+  // exits, it cuts them off: 2 of 12 streams in that failure.
   Cluster Fleet;
   ChildProcess &Stopping = Fleet.process("vm-1");
   Stopping.signal(SIGTERM);
@@ -151,7 +150,7 @@
   std::vector<std::future<CallRecord>> Calls;
   for (int Index = 0; Index < 12; ++Index)
     Calls.push_back(Fleet.start(Fleet.chat(1)));
-  // The length of the pause: the stop is due in it.
+  // The pause is long enough for the stop to become due during it.
   std::this_thread::sleep_for(milliseconds(1000));
   Stopping.wake();
   auto Records = finish(Calls);
@@ -160,10 +159,9 @@
 }
 
 TEST_CASE("a rolling restart of every daemon under load cuts nothing") {
-  // Symptom: an update of the fleet costs answers.
-  // Sequence: each daemon in turn is stopped gracefully and started anew,
-  // while callers use those that are ready.
-  // Cause: cells that move, and documents that must come from peers.
+  // Each daemon in turn is stopped gracefully and restarted while callers use
+  // the ready ones. Cells move between daemons, and documents have to come from
+  // peers; neither may lose an answer during an update of the fleet.
   Cluster Fleet;
   for (int Leaving = 1; Leaving <= 3; ++Leaving) {
     std::vector<std::future<CallRecord>> Calls;
@@ -187,11 +185,12 @@
   CHECK_MESSAGE(Fleet.violations().empty(), joined(Fleet.violations()));
 }
 
-TEST_CASE("a stop whose time is up ends in order while requests wait") {
-  // Built with the address sanitizer, a planned stop ended with status 1 after
-  // its line "stopped": "heap-use-after-free ... in ~GrantWait", freed by
-  // "~io_context". Requests still waited for a grant. Each wait has a timer of
-  // its worker's, and was destroyed with the grants, after that worker.
+TEST_CASE("a stop whose timeout expires exits cleanly while requests wait") {
+  // When the drain timeout expires, requests may still wait for a grant. Each
+  // wait owns a timer of its worker's event loop. If the waits were destroyed
+  // with the grants, after that worker, a daemon built with the address
+  // sanitizer would report a heap-use-after-free in ~GrantWait (memory freed by
+  // ~io_context) and exit with status 1 after its log line "stopped".
   ClusterOptions Options;
   Options.Models_ = 1;
   Options.MaxInFlight_ = 1;
--- a/FailureTests/LimitsTest.cpp
+++ b/FailureTests/LimitsTest.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Limits of connections, time and load: each has a code, and harms nobody.
+/// Limits on connections, time and load: each is reported with a result code
+/// and does not affect other callers.
 
 #include "FailureTests/Cluster.h"
 
@@ -15,8 +16,8 @@
 
 namespace {
 
-std::string answerTo(const samphireshunt::Endpoint &Target,
-                     const std::string &Bytes) {
+std::string sendAndReadAnswer(const samphireshunt::Endpoint &Target,
+                              const std::string &Bytes) {
   asio::io_context Context;
   asio::ip::tcp::socket Socket(Context);
   Socket.connect(Target);
@@ -29,65 +30,65 @@
 
 } // namespace
 
-TEST_CASE("a request that does not arrive whole in time is refused") {
-  // Symptom: a daemon runs out of connections although few requests come.
-  // Sequence: clients send half a request and then nothing.
-  // Cause: a read with no limit of time.
+TEST_CASE("a request that does not arrive completely in time is refused") {
+  // Clients send half a request and then nothing. Without a read timeout a
+  // daemon would run out of connections although it gets few requests.
   ClusterOptions Options;
   Options.DaemonFlags_ = {"--read_timeout_ms=300"};
   Cluster Fleet(Options);
-  std::string Answer = answerTo(Fleet.callersAddress(1),
-                                "POST /readings HTTP/1.1\r\nHost: t\r\n");
+  std::string Answer = sendAndReadAnswer(
+      Fleet.callersAddress(1), "POST /readings HTTP/1.1\r\nHost: t\r\n");
   CHECK(Answer.find("\"code\":103") != std::string::npos);
   CHECK(Fleet.run(Fleet.reading(1)).Correct_);
 }
 
-TEST_CASE("a connection above the limit is refused with a time to come back") {
-  // Symptom: new callers hang while a crowd holds all connections.
-  // Sequence: more connections than the limit; then some close.
-  // Cause: connections above the limit were accepted and never answered.
+TEST_CASE("a connection above the limit is refused with a retry delay") {
+  // More connections than the limit are opened, then some close. If those above
+  // the limit were accepted but never answered, new callers would hang while
+  // others use all connections.
   ClusterOptions Options;
   Options.DaemonFlags_ = {"--max_connections=4"};
   Cluster Fleet(Options);
   asio::io_context Context;
-  std::vector<asio::ip::tcp::socket> Crowd;
+  std::vector<asio::ip::tcp::socket> Connections;
   for (int Index = 0; Index < 4; ++Index) {
-    Crowd.emplace_back(Context);
-    Crowd.back().connect(Fleet.callersAddress(1));
+    Connections.emplace_back(Context);
+    Connections.back().connect(Fleet.callersAddress(1));
   }
   CHECK(eventually([&] {
-    std::string Answer = answerTo(Fleet.callersAddress(1), "");
+    std::string Answer = sendAndReadAnswer(Fleet.callersAddress(1), "");
     return Answer.find("\"code\":111") != std::string::npos &&
            Answer.find("etry-") != std::string::npos;
   }));
-  Crowd.clear();
+  Connections.clear();
   CHECK(eventually(
       [&] { return Fleet.run(Fleet.reading(1)).Outcome_ == "answered"; }));
 }
 
 TEST_CASE("a refusal reaches a caller that is still sending") {
-  // Symptom: a caller sees a reset instead of the reason.
-  // Sequence: a body far above the limit; the refusal comes before its end.
-  // Cause: closing with unread bytes resets the connection.
+  // The body is far above the limit and is refused before its end. Closing a
+  // socket with unread bytes resets the connection, so the caller would see the
+  // reset instead of the reason.
   Cluster Fleet;
   std::string Request = "POST /readings HTTP/1.1\r\nHost: test.example\r\n"
                         "Content-Length: 20000000\r\n\r\n" +
                         std::string(2000000, 'a');
-  std::string Answer = answerTo(Fleet.callersAddress(1), Request);
+  std::string Answer = sendAndReadAnswer(Fleet.callersAddress(1), Request);
   CHECK(Answer.find("\"code\":102") != std::string::npos);
 }
 
-TEST_CASE("what is given up is answered at once, with when to come back") {
-  // Symptom: callers learn only at their deadline that nothing will come.
-  // Sequence: the queue is full; no engine is active; the deadline can't do.
-  // Cause: a request that could not be served was kept waiting all the same.
+TEST_CASE(
+    "a request that cannot be served is refused at once with a retry delay") {
+  // The queue is full, no engine is active, or the deadline cannot be met. If
+  // such a request were queued anyway, its caller would learn only at its
+  // deadline that there will be no answer.
   ClusterOptions Options;
   Options.MaxInFlight_ = 1;
   Cluster Fleet(Options);
   Json Document = Fleet.document();
   Document["pools"][0]["maxWaiting"] = 2;
   REQUIRE(Fleet.apply(Document, {"--wait"}) == 0);
-  // The keeper grants: it has done listening for what runs.
+  // The keeper issues grants: it has finished collecting what is running.
   REQUIRE(Fleet.run(Fleet.chat(1)).Correct_);
   std::vector<std::future<CallRecord>> Calls;
   for (int Index = 0; Index < 12; ++Index) {
