--- a/FailureTests/platform/SoakFleet.cpp
+++ b/FailureTests/platform/SoakFleet.cpp
@@ -52,7 +52,7 @@
 }
 
 int SoakFleet::stopAndStart(std::size_t Index) {
-  // New callers still come for a while, as a balancer sends them.
+  // Callers still connect for a while, as a load balancer keeps sending them.
   Processes_[Index]->signal(SIGTERM);
   std::this_thread::sleep_for(milliseconds(200));
   Around_.setDaemon(Index, std::nullopt);
@@ -63,8 +63,8 @@
 
 void SoakFleet::checkStop(std::size_t Index) {
   if (int Status = stopAndStart(Index); Status != 0)
-    testHooks().Fail_(
-        fmt::format("vm-{} ended its stop with {}", Index, Status));
+    testHooks().Fail_(fmt::format("vm-{} exited with status {} after SIGTERM",
+                                  Index, Status));
 }
 
 void SoakFleet::pause(std::size_t Index) {
@@ -86,7 +86,8 @@
   Around_.failStore(0);
 }
 
-/// The copy is some faults old when the store comes back from it.
+/// Taking and restoring the copy are independent draws, so that the copy is
+/// several faults old when the store is restored from it.
 void SoakFleet::storeCopy() {
   if (!Copies_)
     return;
--- a/FailureTests/platform/SoakFleet.h
+++ b/FailureTests/platform/SoakFleet.h
@@ -1,7 +1,7 @@
 #pragma once
 /// \file
-/// The daemons of a test on the platform's protocol: real processes, and the
-/// faults that strike them from outside.
+/// The daemons of a test that uses the platform's protocol. They run as real
+/// processes with faults injected from outside.
 
 #include "FailureTests/ChildProcess.h"
 #include "FailureTests/TestFolder.h"
@@ -14,22 +14,25 @@
 
 namespace samphireshunt::tests {
 
-/// Three daemons. With an even seed one reads the store and the others follow
-/// it; with an odd one each reads it, and follows another without it.
+/// Three daemons. With an even seed one daemon reads the store and the others
+/// follow it. With an odd seed every daemon reads the store, and follows
+/// another one if it cannot reach it.
 class SoakFleet {
 public:
   static constexpr std::size_t Daemons = 3;
 
-  /// With \p Copies the store now and then comes back from an older copy.
+  /// If \p Copies is set, the store is sometimes restored from an older copy.
   SoakFleet(std::uint64_t Seed, SoakWorld &Around, bool Copies = false);
 
   void start(std::size_t Index);
   void kill(std::size_t Index);
-  /// A planned stop: callers still come for a while. \returns the exit status.
+  /// Stops a daemon with SIGTERM while callers still connect for a while, and
+  /// starts it again. \returns the exit status of the stopped process.
   [[nodiscard]] int stopAndStart(std::size_t Index);
-  /// One fault drawn by the seed, and for some of them its end.
+  /// Injects one random fault, derived from the seed. Some faults also end in
+  /// this call; the others last until a later one or heal().
   void strike();
-  /// Ends all faults.
+  /// Clears all faults.
   void heal();
 
 private:
@@ -40,7 +43,8 @@
 
   SoakWorld &Around_;
   pcg32 Random_;
-  /// Of its own, so that the other faults of a seed stay the same.
+  /// A separate generator, so that \p Copies does not change the other faults
+  /// of a seed.
   pcg32 CopyRandom_;
   bool Copies_;
   std::size_t DaemonsPerReader_;
@@ -49,8 +53,8 @@
   bool Misbehaving_ = false;
 };
 
-/// Waits some seconds until every daemon serves every kind of request.
-/// \returns what is still not served.
+/// Waits up to 10 s until every daemon serves every kind of request.
+/// \returns the probes that still fail.
 std::vector<std::string> probeUntilWell(SoakWorld &Around);
 
 } // namespace samphireshunt::tests
--- a/FailureTests/platform/SoakTest.cpp
+++ b/FailureTests/platform/SoakTest.cpp
@@ -1,8 +1,8 @@
 /// \file
-/// A randomized soak: real daemons as separate processes on the platform's
-/// protocol, with faults from outside them that come in series and overlap.
-/// SOAK_SEEDS="1 2 3" and SOAK_SECONDS=20 play more; without them a short run
-/// of fixed seeds.
+/// A randomized soak test: real daemons run as separate processes on the
+/// platform's protocol, with successive and overlapping faults injected from
+/// outside. SOAK_SEEDS="1 2 3" selects seeds and SOAK_SECONDS=20 the runTime of
+/// each run; by default a few fixed seeds run for a short time.
 
 #include "FailureTests/platform/SoakFleet.h"
 #include "FailureTests/platform/SoakWorld.h"
@@ -21,30 +21,32 @@
 
 constexpr int Callers = 24;
 
-/// Seeds that failed once, each with its cause.
-const std::vector<std::uint64_t> Regressions = {
-    // A keeper that was paused kept an entry's ended requests as running.
+/// Seeds that exposed a fault, each with its cause.
+const std::vector<std::uint64_t> RegressionSeeds = {
+    // A keeper that was paused still counted the finished requests of an
+    // ingress
+    // daemon as running.
     1008,
 };
 
 std::vector<std::uint64_t> seeds() {
   std::vector<std::uint64_t> Seeds = {1, 2};
-  const char *Wanted = std::getenv("SOAK_SEEDS");
-  if (!Wanted) {
-    Seeds.insert(Seeds.end(), Regressions.begin(), Regressions.end());
+  const char *Setting = std::getenv("SOAK_SEEDS");
+  if (!Setting) {
+    Seeds.insert(Seeds.end(), RegressionSeeds.begin(), RegressionSeeds.end());
     return Seeds;
   }
   Seeds.clear();
-  std::istringstream Text(Wanted);
+  std::istringstream Text(Setting);
   for (std::uint64_t Seed = 0; Text >> Seed;)
     Seeds.push_back(Seed);
   return Seeds;
 }
 
-std::chrono::seconds length() {
-  constexpr int Short = 6;
-  const char *Wanted = std::getenv("SOAK_SECONDS");
-  return std::chrono::seconds(Wanted ? std::atoi(Wanted) : Short);
+std::chrono::seconds runTime() {
+  constexpr int DefaultSeconds = 6;
+  const char *Setting = std::getenv("SOAK_SECONDS");
+  return std::chrono::seconds(Setting ? std::atoi(Setting) : DefaultSeconds);
 }
 
 } // namespace
@@ -59,7 +61,7 @@
     auto Before = probeUntilWell(Around);
     REQUIRE_MESSAGE(Before.empty(), "seed " << Seed << ": " << Before.front());
     Around.startCallers(Callers);
-    auto End = steady_clock::now() + length();
+    auto End = steady_clock::now() + runTime();
     while (steady_clock::now() < End) {
       Fleet.strike();
       std::this_thread::sleep_for(milliseconds(150));
@@ -80,17 +82,17 @@
 
 } // namespace
 
-TEST_CASE("what is promised holds under faults in series and at once") {
-  // Symptom: an answer lost, doubled or untrue, a key that still works, an
-  // engine that gets work while it leaves.
-  // Sequence: kills, stops, pauses, reloads, a store that fails, forgets or
-  // loses answers, engines that misbehave or are replaced, keys taken away,
-  // drawn by a seed.
-  // Cause: each is handled alone; what is handled twice at once may not be.
+TEST_CASE("all guarantees hold under successive and overlapping faults") {
+  // Guards against lost, duplicated or false answers, revoked keys that still
+  // work and leaving engines that still get work. The seed selects kills,
+  // stops, pauses, reloads, a store that fails, drops its history or loses
+  // answers, faulty or replaced engines, and revoked keys. Code that handles
+  // each fault alone may not handle two of them at the same time.
   soak(seeds(), /*Copies=*/false);
 }
 
-// What the store has forgotten is believed forgotten, beside other faults.
-TEST_CASE("what is promised holds while the store comes back from copies") {
+// A store that is restored from an older copy loses later writes. Daemons have
+// to accept its state as valid, also while other faults are injected.
+TEST_CASE("all guarantees hold while the store is restored from copies") {
   soak(seeds(), /*Copies=*/true);
 }
--- a/FailureTests/platform/SoakWorld.cpp
+++ b/FailureTests/platform/SoakWorld.cpp
@@ -23,18 +23,18 @@
 constexpr std::size_t DaemonCount = 8;
 constexpr int EventCount = 6;
 constexpr std::uint32_t Percent = 100;
-/// A key must not work for longer after it was taken away.
+/// Maximum time that a key may still work after it was revoked.
 constexpr milliseconds RevocationBound{5000};
-/// A leaving engine gets no request later than this after it said so, while the
-/// store is well; from a daemon that could not be told, as it was paused, after
-/// it went on.
+/// Maximum time that a leaving engine may still get requests after it announced
+/// that it leaves, while the store works. For a daemon that was paused and
+/// could not be notified, the time counts from when it resumed.
 constexpr milliseconds DrainBound{2000};
-/// The store removes the entry of an engine that is silent for this long.
+/// The store removes the entry of an engine that was silent for this time.
 constexpr milliseconds SilentEntryTime{3600};
-/// So long the store must have been well for that bound to hold.
-constexpr milliseconds CalmStore{5000};
+/// DrainBound applies only if the store has had no fault for this time.
+constexpr milliseconds FaultFreeStoreTime{5000};
 
-const char *pathOf(SoakKind Kind) {
+const char *requestPath(SoakKind Kind) {
   switch (Kind) {
   case SoakKind::Safe:
     return "/safe/1";
@@ -55,24 +55,24 @@
   return Kind == SoakKind::Safe || Kind == SoakKind::Resumable;
 }
 
-bool promisesNotRun(int Status) {
+bool meansNotRun(int Status) {
   return Status == 408 || Status == 421 || Status == 429 || Status == 503;
 }
 
-std::string eventOf(const std::string &CallId, int Number) {
+std::string eventText(const std::string &CallId, int Number) {
   return fmt::format("id: {}\ndata: {}-{}\n\n", Number, CallId, Number);
 }
 
-std::string wholeBody(SoakKind Kind, const std::string &CallId) {
+std::string completeBody(SoakKind Kind, const std::string &CallId) {
   if (!isStream(Kind))
     return "answer to " + CallId;
   std::string Body;
   for (int Number = 1; Number <= EventCount; ++Number)
-    Body += eventOf(CallId, Number);
+    Body += eventText(CallId, Number);
   return Body;
 }
 
-Json routeOf(const char *Name, const char *Kind, bool Resumable) {
+Json routeEntry(const char *Name, const char *Kind, bool Resumable) {
   return {{"name", Name},
           {"hostname", "soak.example"},
           {"prefix", fmt::format("/{}/", Name)},
@@ -136,15 +136,15 @@
     Customers.push_back({{"name", Name}, {"api-keys", Keys}});
   }
   Version_ += 1 + pick(3);
-  Json Root = {
-      {"version", Version_},
-      {"routes",
-       {routeOf("safe", "safe", false), routeOf("unsafe", "unsafe", false),
-        routeOf("stream", "streaming", false),
-        routeOf("resumable", "streaming", true)}},
-      {"services", {{{"name", "engines"}}}},
-      {"limits", {{"idle-timeout-ms", 15000}}},
-      {"tenants", Customers}};
+  Json Root = {{"version", Version_},
+               {"routes",
+                {routeEntry("safe", "safe", false),
+                 routeEntry("unsafe", "unsafe", false),
+                 routeEntry("stream", "streaming", false),
+                 routeEntry("resumable", "streaming", true)}},
+               {"services", {{{"name", "engines"}}}},
+               {"limits", {{"idle-timeout-ms", 15000}}},
+               {"tenants", Customers}};
   Configuration_ = Root.dump();
   Store_.put("op/config", Configuration_);
 }
@@ -188,22 +188,25 @@
   std::string CallId = Request.field("x-samphireshunt-request-id");
   HttpResponse Answer;
   Answer.Fields_["x-samphireshunt-request-id"] = CallId;
-  bool Other = Request.field("x-samphireshunt-expect-instance") != Self.Id_;
+  bool WrongInstance =
+      Request.field("x-samphireshunt-expect-instance") != Self.Id_;
   bool Refuses = Misbehave_ && pick(Percent) < 5;
-  if (Other || Refuses) {
-    Answer.Status_ = Other ? 421 : 503;
+  if (WrongInstance || Refuses) {
+    Answer.Status_ = WrongInstance ? 421 : 503;
     Answer.Fields_["x-samphireshunt-not-executed"] = "1";
     co_await Exchange.respond(std::move(Answer));
     co_return;
   }
   auto Now = steady_clock::now();
-  bool Late = Self.Leaving_ != Time() && Now - Self.Leaving_ > DrainBound;
-  if (Late && Now - StoreTroubled_ > CalmStore &&
+  bool PastDrainBound =
+      Self.Leaving_ != Time() && Now - Self.Leaving_ > DrainBound;
+  if (PastDrainBound && Now - StoreTroubled_ > FaultFreeStoreTime &&
       !excusedByPause(CallId, Self.Leaving_) &&
       !excusedByCopy(CallId, Self.Leaving_))
-    Violations_.push_back(CallId + ": reached a leaving engine too late");
+    Violations_.push_back(CallId +
+                          ": reached a leaving engine after the drain bound");
   if (!Request.field("authorization").empty())
-    Violations_.push_back(CallId + ": the key was passed on");
+    Violations_.push_back(CallId + ": the key was forwarded to the engine");
   Runs_.push_back(
       {CallId, Self.Id_, Request.field("x-samphireshunt-tenant"), Now});
   ++RunsOf_[CallId];
@@ -236,7 +239,7 @@
   int First = After.empty() ? 1 : std::stoi(After) + 1;
   for (int Number = First; Open && Number <= EventCount; ++Number) {
     co_await sleep(milliseconds(2 + pick(15)));
-    std::string Event = eventOf(CallId, Number);
+    std::string Event = eventText(CallId, Number);
     bool Cut = Misbehave_ && pick(Percent) < 2;
     if (Cut)
       Event.resize(Event.size() / 2);
@@ -271,19 +274,20 @@
 
 void SoakWorld::stopCallers() {
   run([&] { CallersRun_ = false; });
-  auto Left = [this] {
+  auto ActiveCallers = [this] {
     int Count = 0;
     run([&] { Count = CallersLeft_; });
     return Count;
   };
-  while (Left() > 0)
+  while (ActiveCallers() > 0)
     std::this_thread::sleep_for(milliseconds(20));
 }
 
-/// A caller goes on using its open connection until that is closed.
+/// Sends requests until stopCallers(). A caller reuses its connection until
+/// that is closed.
 Awaitable<void> SoakWorld::caller(std::uint64_t) {
-  std::unique_ptr<HttpConnection> Kept;
-  Endpoint KeptTo;
+  std::unique_ptr<HttpConnection> Connection;
+  Endpoint ConnectedTo;
   while (CallersRun_) {
     co_await sleep(milliseconds(5 + pick(40)));
     auto Daemon = Daemons_[pick(static_cast<std::uint32_t>(Daemons_.size()))];
@@ -291,19 +295,19 @@
       continue;
     auto Kind = static_cast<SoakKind>(pick(4));
     std::string Key = fmt::format("key-{}", 1 + pick(6));
-    if (!Kept)
-      KeptTo = *Daemon;
-    Endpoint To = KeptTo;
+    if (!Connection)
+      ConnectedTo = *Daemon;
+    Endpoint To = ConnectedTo;
     SoakCall Seen =
-        co_await callOnce(Kind, std::move(Key), std::move(To), Kept);
+        co_await callOnce(Kind, std::move(Key), std::move(To), Connection);
     Calls_.push_back(std::move(Seen));
   }
   --CallersLeft_;
 }
 
-Awaitable<SoakCall> SoakWorld::callOnce(SoakKind Kind, std::string Key,
-                                        Endpoint To,
-                                        std::unique_ptr<HttpConnection> &Kept) {
+Awaitable<SoakCall>
+SoakWorld::callOnce(SoakKind Kind, std::string Key, Endpoint To,
+                    std::unique_ptr<HttpConnection> &Connection) {
   constexpr milliseconds Limit{3000};
   SoakCall Seen;
   Seen.Id_ = fmt::format("c-{}", NextId_++);
@@ -312,34 +316,34 @@
   Seen.Key_ = Key;
   HttpRequest Request;
   Request.Method_ = Kind == SoakKind::Safe ? "GET" : "POST";
-  Request.Target_ = pathOf(Kind);
+  Request.Target_ = requestPath(Kind);
   Request.Fields_ = {{"host", "soak.example"},
                      {"x-samphireshunt-request-id", Seen.Id_},
                      {"x-samphireshunt-deadline-ms", "2500"},
                      {"authorization", "Bearer " + Key}};
-  if (!Kept) {
+  if (!Connection) {
     auto Connected = co_await HttpConnection::connect(To, Limit);
     if (!Connected)
       co_return Seen;
-    Kept = std::move(*Connected);
+    Connection = std::move(*Connected);
   }
   Seen.Sent_ = steady_clock::now();
-  auto Sent = co_await Kept->send(Request, Limit);
+  auto Sent = co_await Connection->send(Request, Limit);
   bool Open = Sent.has_value();
   if (Open) {
-    auto Head = co_await Kept->readHead(Limit);
+    auto Head = co_await Connection->readHead(Limit);
     Open = Head.has_value();
     Seen.Status_ = Open ? Head->Status_ : 0;
   }
   while (Open) {
-    auto Part = co_await Kept->readSome(Limit);
-    Open = Part.has_value() && !Part->empty();
-    Seen.Complete_ = Part.has_value() && Part->empty();
+    auto Chunk = co_await Connection->readSome(Limit);
+    Open = Chunk.has_value() && !Chunk->empty();
+    Seen.Complete_ = Chunk.has_value() && Chunk->empty();
     if (Open)
-      Seen.Body_ += *Part;
+      Seen.Body_ += *Chunk;
   }
-  if (!Kept->reusable())
-    Kept.reset();
+  if (!Connection->reusable())
+    Connection.reset();
   co_return Seen;
 }
 
@@ -353,7 +357,7 @@
 void SoakWorld::noteWake(std::size_t Index) {
   run([&] {
     if (Daemons_.at(Index))
-      Pauses_[*Daemons_[Index]].Ended_ = steady_clock::now();
+      Pauses_[*Daemons_[Index]].End_ = steady_clock::now();
   });
 }
 
@@ -365,9 +369,9 @@
   if (Found == Pauses_.end())
     return false;
   const Pause &Last = Found->second;
-  // A daemon that had its whole time to hear of it before the pause is late.
-  return Last.Begun_ <= Since + DrainBound && Last.Ended_ > Since &&
-         steady_clock::now() - Last.Ended_ <= DrainBound;
+  // A daemon that had the full DrainBound before the pause is not excused.
+  return Last.Begin_ <= Since + DrainBound && Last.End_ > Since &&
+         steady_clock::now() - Last.End_ <= DrainBound;
 }
 
 void SoakWorld::failStore(int Status) {
@@ -435,9 +439,9 @@
 std::string SoakWorld::revokeKey() {
   std::string Key;
   run([&] {
-    // Some stay, or nothing would be served at the end.
-    constexpr std::size_t KeptKeys = 3;
-    if (ActiveKeys_.size() <= KeptKeys)
+    // Some keys have to remain active, or nothing would be served at the end.
+    constexpr std::size_t MinActiveKeys = 3;
+    if (ActiveKeys_.size() <= MinActiveKeys)
       return;
     Key = *ActiveKeys_.begin();
     ActiveKeys_.erase(Key);
@@ -456,18 +460,18 @@
     auto Ready = std::ranges::find_if(Engines_, [](const auto &Known) {
       return Known->Leaving_ == Time() && !Known->Gone_;
     });
-    Engine *Leaver = Ready == Engines_.end() ? nullptr : Ready->get();
+    Engine *LeavingEngine = Ready == Engines_.end() ? nullptr : Ready->get();
     addEngine();
-    if (!Leaver)
+    if (!LeavingEngine)
       return;
-    Leaver->Leaving_ = steady_clock::now();
-    publish(*Leaver);
-    auto Leave = [this, Leaver]() -> Awaitable<void> {
-      constexpr milliseconds Linger{4000};
-      co_await sleep(Linger);
-      Leaver->Gone_ = true;
-      Store_.remove("servers/" + Leaver->Id_);
-      Leaver->Server_->stopAccepting();
+    LeavingEngine->Leaving_ = steady_clock::now();
+    publish(*LeavingEngine);
+    auto Leave = [this, LeavingEngine]() -> Awaitable<void> {
+      constexpr milliseconds RemovalDelay{4000};
+      co_await sleep(RemovalDelay);
+      LeavingEngine->Gone_ = true;
+      Store_.remove("servers/" + LeavingEngine->Id_);
+      LeavingEngine->Server_->stopAccepting();
     };
     asio::co_spawn(Context_, std::move(Leave), asio::detached);
   });
@@ -481,11 +485,12 @@
       if (!Daemons_[Index])
         continue;
       for (int Kind = 0; Kind < 4; ++Kind) {
-        std::unique_ptr<HttpConnection> Fresh;
+        std::unique_ptr<HttpConnection> NewConnection;
         Endpoint To = *Daemons_[Index];
         std::string Key = *ActiveKeys_.rbegin();
-        SoakCall Seen = co_await callOnce(static_cast<SoakKind>(Kind),
-                                          std::move(Key), std::move(To), Fresh);
+        SoakCall Seen =
+            co_await callOnce(static_cast<SoakKind>(Kind), std::move(Key),
+                              std::move(To), NewConnection);
         Calls_.push_back(Seen);
         if (Seen.Status_ != 200 || !Seen.Complete_)
           Failed.push_back(fmt::format("daemon {} kind {}: status {}", Index,
@@ -499,41 +504,44 @@
 }
 
 void SoakWorld::check(const SoakCall &Call,
-                      std::vector<std::string> &Found) const {
+                      std::vector<std::string> &Violations) const {
   auto Known = RunsOf_.find(Call.Id_);
   std::size_t Runs = Known == RunsOf_.end() ? 0 : Known->second;
   bool Success = Call.Status_ == 200 && Call.Complete_;
-  if (Success && Call.Body_ != wholeBody(Call.Kind_, Call.Id_))
-    Found.push_back(Call.Id_ + ": a wrong or partial answer looked whole");
+  if (Success && Call.Body_ != completeBody(Call.Kind_, Call.Id_))
+    Violations.push_back(Call.Id_ +
+                         ": a wrong or partial answer looked complete");
   if (!mayRunTwice(Call.Kind_) && Runs > 1)
-    Found.push_back(Call.Id_ + ": ran twice");
-  if (!mayRunTwice(Call.Kind_) && promisesNotRun(Call.Status_) && Runs > 0)
-    Found.push_back(fmt::format("{}: told not run ({}), but it ran", Call.Id_,
-                                Call.Status_));
-  auto Taken = Revoked_.find(Call.Key_);
-  if (Taken != Revoked_.end() && Runs > 0 &&
-      Call.Sent_ > Taken->second + RevocationBound)
-    Found.push_back(Call.Id_ + ": ran long after its key was taken away");
+    Violations.push_back(Call.Id_ + ": ran twice");
+  if (!mayRunTwice(Call.Kind_) && meansNotRun(Call.Status_) && Runs > 0)
+    Violations.push_back(fmt::format("{}: reported as not run ({}), but it ran",
+                                     Call.Id_, Call.Status_));
+  auto Revocation = Revoked_.find(Call.Key_);
+  if (Revocation != Revoked_.end() && Runs > 0 &&
+      Call.Sent_ > Revocation->second + RevocationBound)
+    Violations.push_back(Call.Id_ +
+                         ": ran after the revocation bound of its key");
 }
 
 std::vector<std::string> SoakWorld::violations() {
-  std::vector<std::string> Found;
+  std::vector<std::string> Violations;
   run([&] {
-    Found = Violations_;
+    Violations = Violations_;
     std::map<std::string, const SoakCall *> ById;
     for (const SoakCall &Call : Calls_) {
       ById[Call.Id_] = &Call;
-      check(Call, Found);
+      check(Call, Violations);
     }
     for (const SoakRun &Run : Runs_) {
       auto Call = ById.find(Run.CallId_);
       bool Owner = Call == ById.end() ||
                    OwnerOf_.at(Call->second->Key_) == Run.Customer_;
       if (!Owner)
-        Found.push_back(Run.CallId_ + ": ran under another customer's name");
+        Violations.push_back(Run.CallId_ +
+                             ": ran under the name of another customer");
     }
   });
-  return Found;
+  return Violations;
 }
 
 std::vector<std::string> SoakWorld::cutCalls() {
@@ -549,17 +557,17 @@
 
 int SoakWorld::statusWithKey(const std::string &Key) {
   std::promise<int> Done;
-  auto Ask = [&]() -> Awaitable<void> {
+  auto SendRequest = [&]() -> Awaitable<void> {
     auto Daemon = std::ranges::find_if(
         Daemons_, [](const auto &Known) { return Known.has_value(); });
-    std::unique_ptr<HttpConnection> Fresh;
+    std::unique_ptr<HttpConnection> NewConnection;
     Endpoint To = **Daemon;
     std::string Copy = Key;
     SoakCall Seen = co_await callOnce(SoakKind::Safe, std::move(Copy),
-                                      std::move(To), Fresh);
+                                      std::move(To), NewConnection);
     Done.set_value(Seen.Status_);
   };
-  asio::co_spawn(Context_, Ask, asio::detached);
+  asio::co_spawn(Context_, SendRequest, asio::detached);
   return Done.get_future().get();
 }
 
--- a/FailureTests/platform/SoakWorld.h
+++ b/FailureTests/platform/SoakWorld.h
@@ -1,8 +1,9 @@
 #pragma once
 /// \file
-/// What surrounds the daemons of a soak: the platform's store, engines and
-/// callers, on one thread of the test. Everything that callers and engines see
-/// is kept, so that the promises can be checked from it alone.
+/// The environment of the daemons in a soak test: the platform's store, the
+/// engines and the callers, on one thread of the test. Everything that callers
+/// and engines observe is recorded, and the guarantees are checked from these
+/// records alone.
 
 #include "UnitTests/platform/FakeStore.h"
 
@@ -21,18 +22,18 @@
 
 enum class SoakKind { Safe, Unsafe, Stream, Resumable };
 
-/// One request as its caller saw it.
+/// A request and its answer as observed by the caller.
 struct SoakCall {
   std::string Id_;
   SoakKind Kind_ = SoakKind::Safe;
   std::string Key_;
   std::chrono::steady_clock::time_point Sent_;
-  int Status_ = 0;        ///< 0: no answer.
-  bool Complete_ = false; ///< The answer looked whole.
+  int Status_ = 0;        ///< HTTP status; 0 without an answer.
+  bool Complete_ = false; ///< The answer looked complete.
   std::string Body_;
 };
 
-/// One run of a request as an engine saw it.
+/// An execution of a request as observed by an engine.
 struct SoakRun {
   std::string CallId_;
   std::string Engine_;
@@ -40,48 +41,51 @@
   std::chrono::steady_clock::time_point At_;
 };
 
-/// Thread-safe but for what says otherwise.
+/// All public functions are thread-safe.
 class SoakWorld {
 public:
   explicit SoakWorld(std::uint64_t Seed);
   ~SoakWorld();
 
   Endpoint storeAddress();
-  /// Begins callers that ask these daemons until stopCallers().
+  /// Starts callers that send requests to the daemons until stopCallers().
   void startCallers(int Count);
   void stopCallers();
   void setDaemon(std::size_t Index, std::optional<Endpoint> Callers);
 
-  /// A daemon is about to be paused, and to go on.
+  /// Records that a daemon is about to be paused, and about to resume.
   void notePause(std::size_t Index);
   void noteWake(std::size_t Index);
 
-  // Faults; each returns at once.
+  // Fault injection; the functions do not wait for the fault to end.
   void failStore(int Status);
   void silenceStore(bool Silent);
   void dropHistory();
   void takeStoreCopy();
-  /// The store is away for \p Away, comes back from the copy, and operator and
-  /// engines write theirs again, one after the other.
+  /// Makes the store unavailable for \p Away and then restores it from the
+  /// copy. Afterwards the operator and the engines write their entries again,
+  /// one after the other.
   void comeBackFromCopy(std::chrono::milliseconds Away);
   void loseWriteAnswers(int Count);
   void misbehave(bool Engines) {
     run([=, this] { Misbehave_ = Engines; });
   }
-  /// Takes a caller's key away. \returns it; empty when too few are left.
+  /// Revokes a key of a customer. \returns the key; empty if too few are left.
   std::string revokeKey();
-  /// An engine begins to leave, goes, and another comes.
+  /// Adds an engine and lets another one leave. The leaving engine is removed
+  /// some seconds later.
   void replaceEngine();
   void changeConfiguration();
 
-  /// One good request of each kind; \returns what failed.
+  /// Sends a valid request of each kind to every daemon.
+  /// \returns descriptions of the failed ones.
   std::vector<std::string> probeAll();
-  /// All violations of what was promised, from what was seen so far.
+  /// \returns all violations of the guarantees in the records so far.
   std::vector<std::string> violations();
-  /// Requests that an engine ran and whose caller got no whole answer; with
-  /// engines that behave each is one that a daemon cut.
+  /// \returns the requests that an engine ran and whose caller got no complete
+  /// answer. Without engine faults, each of them was cut by a daemon.
   std::vector<std::string> cutCalls();
-  /// The status of a request with this key at some daemon.
+  /// Sends a request with \p Key to a running daemon. \returns its HTTP status.
   int statusWithKey(const std::string &Key);
   std::size_t answered();
   std::size_t asked();
@@ -90,26 +94,27 @@
   struct Engine;
   using Time = std::chrono::steady_clock::time_point;
 
-  /// Runs \p Work on the world's thread and waits for its end.
+  /// Runs \p Work on the thread of this object and waits until it is done.
   void run(std::function<void()> Work);
   void addEngine();
   void writeConfiguration();
   void publish(const Engine &Target);
   Awaitable<void> restoreCopy(std::chrono::milliseconds Away);
-  /// Whether an engine that left at \p Since may still get the call: its daemon
-  /// started later and has only the copy to go by.
+  /// \returns whether an engine that began to leave at \p Since may still get
+  /// the call: the daemon of the call started later and knows only the restored
+  /// copy.
   bool excusedByCopy(const std::string &CallId, Time Since) const;
   Awaitable<void> serve(Engine &Self, HttpExchange &Exchange);
   Awaitable<void> serveStream(Engine &Self, HttpExchange &Exchange,
                               std::string CallId);
   Awaitable<void> caller(std::uint64_t Number);
   Awaitable<SoakCall> callOnce(SoakKind Kind, std::string Key, Endpoint To,
-                               std::unique_ptr<HttpConnection> &Kept);
+                               std::unique_ptr<HttpConnection> &Connection);
   Awaitable<void> sleep(std::chrono::milliseconds Time);
-  void check(const SoakCall &Call, std::vector<std::string> &Found) const;
-  /// Whether an engine that began to leave at \p Since may still get the call:
-  /// its daemon was paused before it had to know, and has gone on only just
-  /// now.
+  void check(const SoakCall &Call, std::vector<std::string> &Violations) const;
+  /// \returns whether an engine that began to leave at \p Since may still get
+  /// the call: the daemon of the call was paused before it had to know this and
+  /// has resumed only recently.
   bool excusedByPause(const std::string &CallId, Time Since) const;
   std::uint32_t pick(std::uint32_t Count) { return Random_(Count); }
 
@@ -121,20 +126,20 @@
   std::vector<SoakCall> Calls_;
   std::vector<SoakRun> Runs_;
   std::map<std::string, std::size_t> RunsOf_;
-  std::map<std::string, std::string> OwnerOf_; ///< Customers by key.
+  std::map<std::string, std::string> OwnerOf_; ///< Customer names by key.
   std::set<std::string> ActiveKeys_;
   std::map<std::string, Time> Revoked_;
-  std::map<std::string, Endpoint> SentTo_; ///< Daemons by call.
+  std::map<std::string, Endpoint> SentTo_; ///< Daemon addresses by call ID.
   struct Pause {
-    Time Begun_;
-    Time Ended_;
+    Time Begin_;
+    Time End_;
   };
-  std::map<Endpoint, Pause> Pauses_; ///< The last one of each daemon.
+  std::map<Endpoint, Pause> Pauses_; ///< The last pause of each daemon.
   std::vector<std::string> Violations_;
   Time StoreTroubled_;
-  std::string Configuration_; ///< As it was written last.
+  std::string Configuration_; ///< The last version written.
   Time CopyRestored_;
-  std::map<Endpoint, Time> StartedAt_; ///< Of daemons.
+  std::map<Endpoint, Time> StartedAt_; ///< Start times of daemons.
   std::uint64_t NextId_ = 1;
   std::uint64_t Version_ = 0;
   bool CallersRun_ = false;
--- a/FailureTests/platform/StopTest.cpp
+++ b/FailureTests/platform/StopTest.cpp
@@ -1,6 +1,6 @@
 /// \file
 /// Planned stops and the loss of all daemons on the platform's protocol, with
-/// real processes: what callers and engines see.
+/// real processes, checked from the perspective of callers and engines.
 
 #include "FailureTests/platform/SoakFleet.h"
 #include "FailureTests/platform/SoakWorld.h"
@@ -15,21 +15,21 @@
 
 namespace {
 
-/// One daemon reads the store, and the others follow it.
+/// With this seed one daemon reads the store and the others follow it.
 constexpr std::uint64_t Seed = 2;
 constexpr int Callers = 24;
-/// A stop is over within this time.
+/// Maximum time for a stop and the restart.
 constexpr std::chrono::seconds StopBound{8};
 
 } // namespace
 
-TEST_CASE("daemons that are stopped in turn cut no request that they took") {
-  // Symptom: callers' streams break off, or their requests end without an
-  // answer although an engine ran them, whenever daemons are replaced.
-  // Sequence: each daemon in turn gets SIGTERM while callers go on using their
-  // open connections, and new ones come for a while; then it starts again.
-  // Cause: a daemon that ends must first finish what it took, and take what
-  // still comes.
+TEST_CASE(
+    "daemons that are stopped in turn cut no request that they accepted") {
+  // Each daemon in turn gets SIGTERM while callers continue to use their open
+  // connections and new callers arrive for a while; then it is restarted. A
+  // stopping daemon must finish the requests that it accepted and accept those
+  // that still arrive. Otherwise streams would break off, or requests that an
+  // engine ran would end without an answer, whenever daemons are replaced.
   SoakWorld Around(Seed);
   SoakFleet Fleet(Seed, Around);
   REQUIRE(probeUntilWell(Around).empty());
@@ -47,19 +47,17 @@
   CHECK(Around.answered() > 100);
 }
 
-TEST_CASE("after all daemons are killed at once the newest configuration is in "
-          "force, and all is served again") {
-  // Symptom: a key that was taken away works again, or nothing is served, after
-  // a loss of power.
-  // Sequence: a key is taken away; the store acknowledges it; at that moment
-  // all daemons are killed, and start again.
-  // Cause: nothing of a daemon outlives its process; what it begins with must
-  // come from the store.
+TEST_CASE("after all daemons are killed at once the newest configuration is "
+          "active and all requests are served again") {
+  // A key is revoked, the store acknowledges the write, and at that moment all
+  // daemons are killed and restarted, as in a power failure. A daemon keeps no
+  // state across its process, so its initial state must come from the store.
+  // Otherwise the revoked key would work again, or nothing would be served.
   SoakWorld Around(Seed);
   SoakFleet Fleet(Seed, Around);
   REQUIRE(probeUntilWell(Around).empty());
   Around.startCallers(Callers);
-  std::string Taken = Around.revokeKey();
+  std::string RevokedKey = Around.revokeKey();
   for (std::size_t Index = 0; Index < SoakFleet::Daemons; ++Index)
     Fleet.kill(Index);
   for (std::size_t Index = 0; Index < SoakFleet::Daemons; ++Index)
@@ -67,5 +65,5 @@
   CHECK(probeUntilWell(Around).empty());
   Around.stopCallers();
   CHECK(Around.violations().empty());
-  CHECK(Around.statusWithKey(Taken) == 401);
+  CHECK(Around.statusWithKey(RevokedKey) == 401);
 }
