--- a/FailureTests/OwnAnswerTest.cpp
+++ b/FailureTests/OwnAnswerTest.cpp
@@ -60,7 +60,7 @@
   CHECK_MESSAGE(Fleet.violations().empty(), joined(Fleet.violations()));
 }
 
-TEST_CASE("a stream that can't be resumed does not look complete") {
+TEST_CASE("a stream that can't be resumed does not look whole") {
   // The connection closes in the middle of an answer that the engine cannot
   // resume. If the daemon ended the caller's stream like a complete answer, the
   // caller would take the partial answer for the complete one.
