--- a/FailureTests/platform/SoakFleet.cpp
+++ b/FailureTests/platform/SoakFleet.cpp
@@ -12,9 +12,10 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-SoakFleet::SoakFleet(std::uint64_t Seed, SoakWorld &Around, bool Copies)
-    : Around_(Around), Random_(Seed), CopyRandom_(Seed, 1), Copies_(Copies),
-      DaemonsPerReader_(Seed % 2 == 0 ? 2 : Daemons) {
+SoakFleet::SoakFleet(std::uint64_t Seed, SoakWorld &Environment,
+                     bool RestoreCopies)
+    : Around_(Environment), Random_(Seed), CopyRandom_(Seed, 1),
+      Copies_(RestoreCopies), DaemonsPerReader_(Seed % 2 == 0 ? 2 : Daemons) {
   for (std::size_t Index = 0; Index < Daemons; ++Index)
     start(Index);
 }
@@ -63,7 +64,7 @@
 
 void SoakFleet::checkStop(std::size_t Index) {
   if (int Status = stopAndStart(Index); Status != 0)
-    testHooks().Fail_(fmt::format("vm-{} exited with status {} after SIGTERM",
+    testHooks().Fail_(fmt::format("vm-{} ended a planned stop with status {}",
                                   Index, Status));
 }
 
@@ -141,12 +142,12 @@
     Process->wake();
 }
 
-std::vector<std::string> probeUntilWell(SoakWorld &Around) {
+std::vector<std::string> probeUntilWell(SoakWorld &Environment) {
   constexpr std::chrono::seconds Limit{10};
   auto End = steady_clock::now() + Limit;
-  auto Failed = Around.probeAll();
+  auto Failed = Environment.probeAll();
   while (!Failed.empty() && steady_clock::now() < End)
-    Failed = Around.probeAll();
+    Failed = Environment.probeAll();
   return Failed;
 }
 
--- a/FailureTests/platform/SoakFleet.h
+++ b/FailureTests/platform/SoakFleet.h
@@ -21,8 +21,10 @@
 public:
   static constexpr std::size_t Daemons = 3;
 
-  /// If \p Copies is set, the store is sometimes restored from an older copy.
-  SoakFleet(std::uint64_t Seed, SoakWorld &Around, bool Copies = false);
+  /// If \p RestoreCopies is set, the store is sometimes restored from an older
+  /// copy.
+  SoakFleet(std::uint64_t Seed, SoakWorld &Environment,
+            bool RestoreCopies = false);
 
   void start(std::size_t Index);
   void kill(std::size_t Index);
@@ -30,7 +32,7 @@
   /// starts it again. \returns the exit status of the stopped process.
   [[nodiscard]] int stopAndStart(std::size_t Index);
   /// Injects one random fault, derived from the seed. Some faults also end in
-  /// this call; the others last until a later one or heal().
+  /// this call; others may outlast it.
   void strike();
   /// Clears all faults.
   void heal();
@@ -43,8 +45,8 @@
 
   SoakWorld &Around_;
   pcg32 Random_;
-  /// A separate generator, so that \p Copies does not change the other faults
-  /// of a seed.
+  /// A separate generator, so that \p RestoreCopies does not change the other
+  /// faults of a seed.
   pcg32 CopyRandom_;
   bool Copies_;
   std::size_t DaemonsPerReader_;
@@ -55,6 +57,6 @@
 
 /// Waits up to 10 s until every daemon serves every kind of request.
 /// \returns the probes that still fail.
-std::vector<std::string> probeUntilWell(SoakWorld &Around);
+std::vector<std::string> probeUntilWell(SoakWorld &Environment);
 
 } // namespace samphireshunt::tests
--- a/FailureTests/platform/SoakTest.cpp
+++ b/FailureTests/platform/SoakTest.cpp
@@ -53,30 +53,30 @@
 
 namespace {
 
-void soak(const std::vector<std::uint64_t> &Seeds, bool Copies) {
+void soak(const std::vector<std::uint64_t> &Seeds, bool RestoreCopies) {
   for (std::uint64_t Seed : Seeds) {
-    SoakWorld Around(Seed);
-    Around.takeStoreCopy();
-    SoakFleet Fleet(Seed, Around, Copies);
-    auto Before = probeUntilWell(Around);
+    SoakWorld Environment(Seed);
+    Environment.takeStoreCopy();
+    SoakFleet Fleet(Seed, Environment, RestoreCopies);
+    auto Before = probeUntilWell(Environment);
     REQUIRE_MESSAGE(Before.empty(), "seed " << Seed << ": " << Before.front());
-    Around.startCallers(Callers);
+    Environment.startCallers(Callers);
     auto End = steady_clock::now() + runTime();
     while (steady_clock::now() < End) {
       Fleet.strike();
       std::this_thread::sleep_for(milliseconds(150));
     }
     Fleet.heal();
-    Around.stopCallers();
-    auto After = probeUntilWell(Around);
+    Environment.stopCallers();
+    auto After = probeUntilWell(Environment);
     CHECK_MESSAGE(After.empty(), "seed " << Seed << ": " << After.front());
-    auto Violations = Around.violations();
+    auto Violations = Environment.violations();
     CHECK_MESSAGE(Violations.empty(), "seed " << Seed << ": "
                                               << Violations.size() << ", first "
                                               << Violations.front());
-    CHECK_MESSAGE(Around.answered() * 4 > Around.asked(),
-                  "seed " << Seed << ": " << Around.answered() << " of "
-                          << Around.asked() << " answered");
+    CHECK_MESSAGE(Environment.answered() * 4 > Environment.asked(),
+                  "seed " << Seed << ": " << Environment.answered() << " of "
+                          << Environment.asked() << " answered");
   }
 }
 
@@ -88,11 +88,11 @@
   // stops, pauses, reloads, a store that fails, drops its history or loses
   // answers, faulty or replaced engines, and revoked keys. Code that handles
   // each fault alone may not handle two of them at the same time.
-  soak(seeds(), /*Copies=*/false);
+  soak(seeds(), /*RestoreCopies=*/false);
 }
 
 // A store that is restored from an older copy loses later writes. Daemons have
 // to accept its state as valid, also while other faults are injected.
 TEST_CASE("all guarantees hold while the store is restored from copies") {
-  soak(seeds(), /*Copies=*/true);
+  soak(seeds(), /*RestoreCopies=*/true);
 }
--- a/FailureTests/platform/StopTest.cpp
+++ b/FailureTests/platform/StopTest.cpp
@@ -30,21 +30,21 @@
   // stopping daemon must finish the requests that it accepted and accept those
   // that still arrive. Otherwise streams would break off, or requests that an
   // engine ran would end without an answer, whenever daemons are replaced.
-  SoakWorld Around(Seed);
-  SoakFleet Fleet(Seed, Around);
-  REQUIRE(probeUntilWell(Around).empty());
-  Around.startCallers(Callers);
+  SoakWorld Environment(Seed);
+  SoakFleet Fleet(Seed, Environment);
+  REQUIRE(probeUntilWell(Environment).empty());
+  Environment.startCallers(Callers);
   for (std::size_t Index = 0; Index < SoakFleet::Daemons; ++Index) {
     auto Begin = steady_clock::now();
     CHECK(Fleet.stopAndStart(Index) == 0);
     CHECK(steady_clock::now() - Begin < StopBound);
-    CHECK(probeUntilWell(Around).empty());
+    CHECK(probeUntilWell(Environment).empty());
   }
-  Around.stopCallers();
-  auto Cut = Around.cutCalls();
+  Environment.stopCallers();
+  auto Cut = Environment.cutCalls();
   CHECK_MESSAGE(Cut.empty(), Cut.size() << " cut, first " << Cut.front());
-  CHECK(Around.violations().empty());
-  CHECK(Around.answered() > 100);
+  CHECK(Environment.violations().empty());
+  CHECK(Environment.answered() > 100);
 }
 
 TEST_CASE("after all daemons are killed at once the newest configuration is "
@@ -53,17 +53,17 @@
   // daemons are killed and restarted, as in a power failure. A daemon keeps no
   // state across its process, so its initial state must come from the store.
   // Otherwise the revoked key would work again, or nothing would be served.
-  SoakWorld Around(Seed);
-  SoakFleet Fleet(Seed, Around);
-  REQUIRE(probeUntilWell(Around).empty());
-  Around.startCallers(Callers);
-  std::string RevokedKey = Around.revokeKey();
+  SoakWorld Environment(Seed);
+  SoakFleet Fleet(Seed, Environment);
+  REQUIRE(probeUntilWell(Environment).empty());
+  Environment.startCallers(Callers);
+  std::string RevokedKey = Environment.revokeKey();
   for (std::size_t Index = 0; Index < SoakFleet::Daemons; ++Index)
     Fleet.kill(Index);
   for (std::size_t Index = 0; Index < SoakFleet::Daemons; ++Index)
     Fleet.start(Index);
-  CHECK(probeUntilWell(Around).empty());
-  Around.stopCallers();
-  CHECK(Around.violations().empty());
-  CHECK(Around.statusWithKey(RevokedKey) == 401);
+  CHECK(probeUntilWell(Environment).empty());
+  Environment.stopCallers();
+  CHECK(Environment.violations().empty());
+  CHECK(Environment.statusWithKey(RevokedKey) == 401);
 }
