--- a/FailureTests/platform/SoakFleet.cpp
+++ b/FailureTests/platform/SoakFleet.cpp
@@ -12,9 +12,10 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-SoakFleet::SoakFleet(std::uint64_t Seed, SoakWorld &Around, bool Copies)
-    : Around_(Around), Random_(Seed), CopyRandom_(Seed, 1), Copies_(Copies),
-      DaemonsPerReader_(Seed % 2 == 0 ? 2 : Daemons) {
+SoakFleet::SoakFleet(std::uint64_t Seed, SoakWorld &Environment,
+                     bool RestoreCopies)
+    : Around_(Environment), Random_(Seed), CopyRandom_(Seed, 1),
+      Copies_(RestoreCopies), DaemonsPerReader_(Seed % 2 == 0 ? 2 : Daemons) {
   for (std::size_t Index = 0; Index < Daemons; ++Index)
     start(Index);
 }
@@ -52,7 +53,7 @@
 }
 
 int SoakFleet::stopAndStart(std::size_t Index) {
-  // New callers still come for a while, as a balancer sends them.
+  // Callers still connect for a while, as a load balancer keeps sending them.
   Processes_[Index]->signal(SIGTERM);
   std::this_thread::sleep_for(milliseconds(200));
   Around_.setDaemon(Index, std::nullopt);
@@ -63,8 +64,8 @@
 
 void SoakFleet::checkStop(std::size_t Index) {
   if (int Status = stopAndStart(Index); Status != 0)
-    testHooks().Fail_(
-        fmt::format("vm-{} ended its stop with {}", Index, Status));
+    testHooks().Fail_(fmt::format("vm-{} ended a planned stop with status {}",
+                                  Index, Status));
 }
 
 void SoakFleet::pause(std::size_t Index) {
@@ -86,7 +87,8 @@
   Around_.failStore(0);
 }
 
-/// The copy is some faults old when the store comes back from it.
+/// Taking and restoring the copy are independent draws, so that the copy is
+/// several faults old when the store is restored from it.
 void SoakFleet::storeCopy() {
   if (!Copies_)
     return;
@@ -140,12 +142,12 @@
     Process->wake();
 }
 
-std::vector<std::string> probeUntilWell(SoakWorld &Around) {
+std::vector<std::string> probeUntilWell(SoakWorld &Environment) {
   constexpr std::chrono::seconds Limit{10};
   auto End = steady_clock::now() + Limit;
-  auto Failed = Around.probeAll();
+  auto Failed = Environment.probeAll();
   while (!Failed.empty() && steady_clock::now() < End)
-    Failed = Around.probeAll();
+    Failed = Environment.probeAll();
   return Failed;
 }
 
--- a/FailureTests/platform/SoakTest.cpp
+++ b/FailureTests/platform/SoakTest.cpp
@@ -1,8 +1,8 @@
 /// \file
-/// A randomized soak: real daemons as separate processes on the platform's
-/// protocol, with faults from outside them that come in series and overlap.
-/// SOAK_SEEDS="1 2 3" and SOAK_SECONDS=20 play more; without them a short run
-/// of fixed seeds.
+/// A randomized soak test: real daemons run as separate processes on the
+/// platform's protocol, with successive and overlapping faults injected from
+/// outside. SOAK_SEEDS="1 2 3" selects seeds and SOAK_SECONDS=20 the runTime of
+/// each run; by default a few fixed seeds run for a short time.
 
 #include "FailureTests/platform/SoakFleet.h"
 #include "FailureTests/platform/SoakWorld.h"
@@ -21,76 +21,78 @@
 
 constexpr int Callers = 24;
 
-/// Seeds that failed once, each with its cause.
-const std::vector<std::uint64_t> Regressions = {
-    // A keeper that was paused kept an entry's ended requests as running.
+/// Seeds that exposed a fault, each with its cause.
+const std::vector<std::uint64_t> RegressionSeeds = {
+    // A keeper that was paused still counted the finished requests of an
+    // ingress
+    // daemon as running.
     1008,
 };
 
 std::vector<std::uint64_t> seeds() {
   std::vector<std::uint64_t> Seeds = {1, 2};
-  const char *Wanted = std::getenv("SOAK_SEEDS");
-  if (!Wanted) {
-    Seeds.insert(Seeds.end(), Regressions.begin(), Regressions.end());
+  const char *Setting = std::getenv("SOAK_SEEDS");
+  if (!Setting) {
+    Seeds.insert(Seeds.end(), RegressionSeeds.begin(), RegressionSeeds.end());
     return Seeds;
   }
   Seeds.clear();
-  std::istringstream Text(Wanted);
+  std::istringstream Text(Setting);
   for (std::uint64_t Seed = 0; Text >> Seed;)
     Seeds.push_back(Seed);
   return Seeds;
 }
 
-std::chrono::seconds length() {
-  constexpr int Short = 6;
-  const char *Wanted = std::getenv("SOAK_SECONDS");
-  return std::chrono::seconds(Wanted ? std::atoi(Wanted) : Short);
+std::chrono::seconds runTime() {
+  constexpr int DefaultSeconds = 6;
+  const char *Setting = std::getenv("SOAK_SECONDS");
+  return std::chrono::seconds(Setting ? std::atoi(Setting) : DefaultSeconds);
 }
 
 } // namespace
 
 namespace {
 
-void soak(const std::vector<std::uint64_t> &Seeds, bool Copies) {
+void soak(const std::vector<std::uint64_t> &Seeds, bool RestoreCopies) {
   for (std::uint64_t Seed : Seeds) {
-    SoakWorld Around(Seed);
-    Around.takeStoreCopy();
-    SoakFleet Fleet(Seed, Around, Copies);
-    auto Before = probeUntilWell(Around);
+    SoakWorld Environment(Seed);
+    Environment.takeStoreCopy();
+    SoakFleet Fleet(Seed, Environment, RestoreCopies);
+    auto Before = probeUntilWell(Environment);
     REQUIRE_MESSAGE(Before.empty(), "seed " << Seed << ": " << Before.front());
-    Around.startCallers(Callers);
-    auto End = steady_clock::now() + length();
+    Environment.startCallers(Callers);
+    auto End = steady_clock::now() + runTime();
     while (steady_clock::now() < End) {
       Fleet.strike();
       std::this_thread::sleep_for(milliseconds(150));
     }
     Fleet.heal();
-    Around.stopCallers();
-    auto After = probeUntilWell(Around);
+    Environment.stopCallers();
+    auto After = probeUntilWell(Environment);
     CHECK_MESSAGE(After.empty(), "seed " << Seed << ": " << After.front());
-    auto Violations = Around.violations();
+    auto Violations = Environment.violations();
     CHECK_MESSAGE(Violations.empty(), "seed " << Seed << ": "
                                               << Violations.size() << ", first "
                                               << Violations.front());
-    CHECK_MESSAGE(Around.answered() * 4 > Around.asked(),
-                  "seed " << Seed << ": " << Around.answered() << " of "
-                          << Around.asked() << " answered");
+    CHECK_MESSAGE(Environment.answered() * 4 > Environment.asked(),
+                  "seed " << Seed << ": " << Environment.answered() << " of "
+                          << Environment.asked() << " answered");
   }
 }
 
 } // namespace
 
-TEST_CASE("what is promised holds under faults in series and at once") {
-  // Symptom: an answer lost, doubled or untrue, a key that still works, an
-  // engine that gets work while it leaves.
-  // Sequence: kills, stops, pauses, reloads, a store that fails, forgets or
-  // loses answers, engines that misbehave or are replaced, keys taken away,
-  // drawn by a seed.
-  // Cause: each is handled alone; what is handled twice at once may not be.
-  soak(seeds(), /*Copies=*/false);
+TEST_CASE("all guarantees hold under successive and overlapping faults") {
+  // Guards against lost, duplicated or false answers, revoked keys that still
+  // work and leaving engines that still get work. The seed selects kills,
+  // stops, pauses, reloads, a store that fails, drops its history or loses
+  // answers, faulty or replaced engines, and revoked keys. Code that handles
+  // each fault alone may not handle two of them at the same time.
+  soak(seeds(), /*RestoreCopies=*/false);
 }
 
-// What the store has forgotten is believed forgotten, beside other faults.
-TEST_CASE("what is promised holds while the store comes back from copies") {
-  soak(seeds(), /*Copies=*/true);
+// A store that is restored from an older copy loses later writes. Daemons have
+// to accept its state as valid, also while other faults are injected.
+TEST_CASE("all guarantees hold while the store is restored from copies") {
+  soak(seeds(), /*RestoreCopies=*/true);
 }
