--- a/Source/Connection/BackendConnections.cpp
+++ b/Source/Connection/BackendConnections.cpp
@@ -9,11 +9,13 @@
 
 namespace {
 
-/// A server closes an idle connection when its time is up; a request that
-/// crosses that close is lost. So much earlier it is not used any more.
+/// A server closes an idle connection when its keep-alive timeout expires, and
+/// a request sent at that moment is lost. A connection is not reused within
+/// this margin before the timeout.
 constexpr milliseconds CloseMargin{700};
-/// Older ones are closed although nobody asks for them.
-constexpr milliseconds KeptFor{10000};
+/// Connections that have been idle for longer are closed when another
+/// connection to the same server is returned.
+constexpr milliseconds MaxPooledIdle{10000};
 
 bool usable(HttpConnection &Connection, milliseconds MaxIdle) {
   if (auto Limit = Connection.idleLimit())
@@ -39,17 +41,18 @@
 Awaitable<Result<std::unique_ptr<HttpConnection>>>
 BackendConnections::take(Endpoint Address, milliseconds MaxIdle) {
   if (MaxIdle.count() > 0)
-    if (auto Kept = takeIdle(Idle_[Address], MaxIdle))
-      co_return Kept;
+    if (auto Reused = takeIdle(Idle_[Address], MaxIdle))
+      co_return Reused;
   co_return co_await HttpConnection::connect(Address, Options_.ConnectTimeout_);
 }
 
 void BackendConnections::giveBack(const Endpoint &Address,
                                   std::unique_ptr<HttpConnection> Connection) {
   auto &Idle = Idle_[Address];
-  auto Oldest = steady_clock::now() - KeptFor;
-  std::erase_if(
-      Idle, [Oldest](const auto &Kept) { return Kept->lastHeard() < Oldest; });
+  auto Oldest = steady_clock::now() - MaxPooledIdle;
+  std::erase_if(Idle, [Oldest](const auto &Pooled) {
+    return Pooled->lastHeard() < Oldest;
+  });
   if (!Connection->reusable() || Idle.size() >= Options_.MaxIdlePerServer_)
     return Connection->close();
   Idle.push_back(std::move(Connection));
--- a/Source/Connection/BackendConnections.h
+++ b/Source/Connection/BackendConnections.h
@@ -1,7 +1,7 @@
 #pragma once
 /// \file
-/// Connections to backend servers that are kept for a next request. One object
-/// per worker thread; not thread-safe.
+/// A pool of keep-alive connections to backend servers. There is one pool per
+/// worker thread; it is not thread-safe.
 
 #include "Connection/Http.h"
 
@@ -11,10 +11,10 @@
 
 namespace samphireshunt {
 
-/// An idle connection may have gone silent: something between the two ends lost
-/// track of it, a request written to it vanishes, and no error comes back. One
-/// that carried an answer this recently is taken as proved; for a request that
-/// may be sent again an older one does as well.
+/// Idle time up to which a pooled connection is known to work. A network
+/// element between the two ends may have lost the state of an idle connection;
+/// a request written to it then vanishes without an error. Requests that are
+/// safe to retry may use connections that have been idle for longer.
 inline constexpr std::chrono::milliseconds ProvedMaxIdle{1000};
 
 class BackendConnections {
@@ -26,11 +26,13 @@
 
   explicit BackendConnections(Options Settings) : Options_(Settings) {}
 
-  /// An idle connection that answered within \p MaxIdle, or a new one.
+  /// \returns an idle connection that received bytes within \p MaxIdle, or a
+  /// new one. Fails with ConnectFailed.
   Awaitable<Result<std::unique_ptr<HttpConnection>>>
   take(Endpoint Address, std::chrono::milliseconds MaxIdle);
-  /// Keeps the connection when its last answer was read whole; closes it
-  /// otherwise, so that a late answer can never meet another request.
+  /// Returns \p Connection to the pool if its last response was read
+  /// completely. Otherwise closes it, so that the rest of that response can
+  /// never be taken for the response to another request.
   void giveBack(const Endpoint &Address,
                 std::unique_ptr<HttpConnection> Connection);
 
--- a/Source/Connection/EventSplitter.cpp
+++ b/Source/Connection/EventSplitter.cpp
@@ -6,8 +6,8 @@
 
 constexpr std::string_view IdField = "id:";
 
-/// The end of the first whole event in \p Bytes, or npos. Lines end in LF, CR
-/// LF or CR; an empty line ends an event.
+/// \returns the end of the first complete event in \p Bytes, or npos. Lines end
+/// in LF, CR LF or CR; an empty line ends an event.
 std::size_t eventEnd(std::string_view Bytes) {
   bool LineEmpty = true;
   for (std::size_t Index = 0; Index < Bytes.size(); ++Index) {
@@ -16,7 +16,7 @@
       LineEmpty = false;
       continue;
     }
-    // The LF of a CR LF may still be on its way; it belongs to this line.
+    // The LF of a CR LF may not have arrived yet; it belongs to this line.
     if (C == '\r' && Index + 1 == Bytes.size())
       return std::string_view::npos;
     if (C == '\r' && Bytes[Index + 1] == '\n')
@@ -32,16 +32,16 @@
 
 std::string EventSplitter::feed(std::string_view Bytes) {
   Rest_ += Bytes;
-  std::string_view Left = Rest_;
-  std::size_t Whole = 0;
-  for (std::size_t End = eventEnd(Left); End != std::string_view::npos;
-       End = eventEnd(Left)) {
-    noteEvent(Left.substr(0, End));
-    Left.remove_prefix(End);
-    Whole += End;
+  std::string_view Remaining = Rest_;
+  std::size_t CompleteBytes = 0;
+  for (std::size_t End = eventEnd(Remaining); End != std::string_view::npos;
+       End = eventEnd(Remaining)) {
+    noteEvent(Remaining.substr(0, End));
+    Remaining.remove_prefix(End);
+    CompleteBytes += End;
   }
-  std::string Events = Rest_.substr(0, Whole);
-  Rest_.erase(0, Whole);
+  std::string Events = Rest_.substr(0, CompleteBytes);
+  Rest_.erase(0, CompleteBytes);
   return Events;
 }
 
--- a/Source/Connection/EventSplitter.h
+++ b/Source/Connection/EventSplitter.h
@@ -1,8 +1,8 @@
 #pragma once
 /// \file
-/// Cuts a stream of server-sent events at the ends of whole events, and leaves
-/// their bytes as they are. A stream that breaks off within an event can then
-/// go on elsewhere from the last whole one.
+/// Splits a stream of server-sent events at event boundaries and leaves the
+/// bytes unchanged. A stream that breaks off within an event can then be
+/// resumed elsewhere after the last complete event.
 
 #include <optional>
 #include <string>
@@ -12,15 +12,15 @@
 
 class EventSplitter {
 public:
-  /// Takes bytes in. \returns those that end a whole event, with what was held
-  /// before them.
+  /// Appends \p Bytes to the buffer. \returns the buffered bytes up to the end
+  /// of the last complete event; they are removed from the buffer.
   std::string feed(std::string_view Bytes);
-  /// What is held: the beginning of an event.
+  /// The buffered bytes: the beginning of an incomplete event.
   const std::string &rest() const { return Rest_; }
   void dropRest() { Rest_.clear(); }
-  /// The id of the last whole event that had one.
+  /// The id of the last complete event that had one.
   const std::optional<std::string> &lastId() const { return LastId_; }
-  /// Whole events so far.
+  /// The number of complete events so far.
   std::size_t count() const { return Count_; }
 
 private:
--- a/Source/Connection/EventStream.h
+++ b/Source/Connection/EventStream.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Splits server-sent events out of a stream of bytes.
+/// Parses server-sent events from a stream of bytes.
 
 #include <string>
 #include <string_view>
@@ -16,16 +16,16 @@
 
 class EventStream {
 public:
-  /// Takes bytes in and returns the events that they complete.
+  /// Appends \p Bytes to the stream. \returns the events that are now complete.
   std::vector<ServerSentEvent> feed(std::string_view Bytes);
-  /// True when no event is half read.
+  /// True when the buffer contains no incomplete event.
   bool atBoundary() const { return Rest_.empty(); }
 
 private:
   std::string Rest_;
 };
 
-/// Writes one event; empty fields are left out.
+/// Formats one event; an empty id or name is omitted.
 std::string formatEvent(const ServerSentEvent &Event);
 
 } // namespace samphireshunt
--- a/Source/Connection/FrameChannel.cpp
+++ b/Source/Connection/FrameChannel.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-wire::HeartbeatT signOfLife() {
+wire::HeartbeatT heartbeatReply() {
   wire::HeartbeatT Answer;
   Answer.answer = true;
   return Answer;
@@ -28,10 +28,10 @@
 } // namespace
 
 std::shared_ptr<FrameChannel> FrameChannel::create(asio::ip::tcp::socket Socket,
-                                                   Hooks Reactions,
+                                                   Hooks Callbacks,
                                                    Timing Periods) {
   std::shared_ptr<FrameChannel> Channel(
-      new FrameChannel(std::move(Socket), std::move(Reactions), Periods));
+      new FrameChannel(std::move(Socket), std::move(Callbacks), Periods));
   auto Executor = Channel->Socket_.get_executor();
   auto Read = [Channel]() { return Channel->readFrames(); };
   auto Watch = [Channel]() { return Channel->watchSilence(); };
@@ -40,9 +40,9 @@
   return Channel;
 }
 
-FrameChannel::FrameChannel(asio::ip::tcp::socket Socket, Hooks Reactions,
+FrameChannel::FrameChannel(asio::ip::tcp::socket Socket, Hooks Callbacks,
                            Timing Periods)
-    : Socket_(std::move(Socket)), Hooks_(std::move(Reactions)),
+    : Socket_(std::move(Socket)), Hooks_(std::move(Callbacks)),
       Timing_(Periods), SilenceTimer_(Socket_.get_executor()),
       LastHeard_(steady_clock::now()) {
   error_code Ignored;
@@ -82,7 +82,8 @@
     Closed();
 }
 
-/// The reading coroutine ends by the closed socket and tells of it then.
+/// Closes the socket only: readFrames() then ends with an error and calls
+/// Closed_.
 void FrameChannel::closeOverfull() {
   error_code Ignored;
   auto Other = Socket_.remote_endpoint(Ignored);
@@ -126,16 +127,17 @@
   co_return Error;
 }
 
-/// A frame of a megabyte takes a second on a weak link. Counted only when it is
-/// whole, it would be silence: the link would be closed in its middle, and all
-/// of it sent again on the next one, for ever; the other side could not hear
-/// from here either, as its question waits behind the frame. So a part is a
-/// sign of life, and is answered by one.
+/// A frame of a megabyte takes a second on a slow link. If only complete frames
+/// counted as received, the link would be closed in the middle of the frame,
+/// and the frame sent again on the next link, without end. The peer would
+/// receive nothing either, because its heartbeat request is queued behind the
+/// frame. So each chunk counts as a sign of life and is answered by a
+/// heartbeat.
 void FrameChannel::tellProgress(TimePoint Begun) {
   if (LastHeard_ - std::max(Begun, LastTold_) < Timing_.Heartbeat_)
     return;
   LastTold_ = LastHeard_;
-  send(encodeMessage(signOfLife()));
+  send(encodeMessage(heartbeatReply()));
 }
 
 void FrameChannel::receive(std::string_view Bytes) {
@@ -144,7 +146,7 @@
     return fail();
   if (const auto *Beat = Envelope->body.AsHeartbeat()) {
     if (!Beat->answer)
-      send(encodeMessage(signOfLife()));
+      send(encodeMessage(heartbeatReply()));
     return;
   }
   if (auto Received = Hooks_.Received_)
@@ -166,10 +168,11 @@
     fail();
 }
 
-/// A connection can go silent for good: something between the two ends lost
-/// track of it, writes succeed into the socket's buffer, and no error ever
-/// comes. Without the heartbeats, requests that wait for a grant would wait
-/// until their deadline; with them the link is replaced within Silence_.
+/// Closes the connection when the peer is silent for too long. A network
+/// element between the two ends can lose the state of a connection: writes then
+/// succeed into the socket's buffer and no error is ever reported. Without
+/// heartbeats, requests that wait for a grant would wait until their deadline;
+/// with them the link is replaced within Silence_.
 Awaitable<void> FrameChannel::watchSilence() {
   error_code Error;
   bool WasAwaiting = false;
@@ -181,9 +184,9 @@
       break;
     bool Awaiting = Hooks_.Awaiting_ && Hooks_.Awaiting_();
     auto Now = steady_clock::now();
-    // A process that gets no processor asks for nothing and hears nothing.
-    // Taken for the other's silence, its own pause would close links to daemons
-    // that run, and lose all that is awaited there.
+    // A process that is not scheduled neither sends nor receives. If its own
+    // pause counted as silence of the peer, it would close links to working
+    // daemons and lose everything awaited from them.
     if (Now - SilenceTimer_.expiry() > Timing_.Heartbeat_)
       LastHeard_ = Now;
     if (Awaiting && !WasAwaiting)
@@ -195,7 +198,8 @@
       fail();
       break;
     }
-    // Grants that come in are proof enough.
+    // Any received message shows that the link works, so no heartbeat is
+    // needed.
     if (Now - LastHeard_ >= Timing_.Heartbeat_)
       send(encodeMessage(wire::HeartbeatT()));
   }
--- a/Source/Connection/Http.h
+++ b/Source/Connection/Http.h
@@ -1,7 +1,8 @@
 #pragma once
 /// \file
-/// HTTP/1.1 as values, and a server and a client over Boost.Beast. Beast's own
-/// headers stay in the source files: they are slow to compile.
+/// HTTP/1.1 messages as plain structs, and a server and a client built on
+/// Boost.Beast. Beast's headers are included only in source files, because they
+/// are slow to compile.
 
 #include "Common/ResultCode.h"
 
@@ -25,90 +26,95 @@
 /// Header fields by lower-case name.
 using HttpFields = std::map<std::string, std::string>;
 
-/// Names of header fields are compared in lower case.
+/// \returns \p Text in lower case, as names of header fields are compared.
 std::string lowerCase(std::string_view Text);
 
-/// A request, read whole.
+/// A complete request.
 struct HttpRequest {
   std::string Method_ = "GET";
   std::string Target_ = "/";
   HttpFields Fields_;
   std::string Body_;
 
-  /// The value of the field \p LowerName, empty when absent.
+  /// \returns the value of the field \p LowerName, empty when absent.
   const std::string &field(const std::string &LowerName) const;
   /// The target without its query.
   std::string_view path() const;
-  /// The value of the query's parameter \p Name, empty when absent.
+  /// \returns the value of the query parameter \p Name, empty when absent.
   std::string queryParameter(std::string_view Name) const;
 };
 
-/// An answer, or the head of one that is streamed.
+/// A response, or the head of a streamed response.
 struct HttpResponse {
   int Status_ = 200;
   HttpFields Fields_;
   std::string Body_;
 };
 
-/// A JSON answer.
+/// \returns a response with a JSON body.
 HttpResponse jsonResponse(int Status, std::string Body);
 
-/// Parses "address:port"; only IP numbers are taken.
+/// Parses "address:port"; only numeric IP addresses are accepted. \returns
+/// BadSetting for anything else.
 Result<Endpoint> parseEndpoint(std::string_view Text);
 std::string formatEndpoint(const Endpoint &Address);
 
-/// The server's side of one exchange. Lives as long as its request.
+/// The server side of one request and its response. It lives as long as the
+/// request.
 class HttpExchange {
 public:
   virtual ~HttpExchange() = default;
   virtual const HttpRequest &request() const = 0;
-  /// Sends a whole answer. \returns false when the caller's side is gone.
+  /// Sends a complete response. \returns false when the connection to the
+  /// caller is closed.
   virtual Awaitable<bool> respond(HttpResponse Response) = 0;
-  /// Sends the head of a chunked answer.
+  /// Sends the head of a chunked response.
   virtual Awaitable<bool> beginStream(HttpResponse Head) = 0;
   virtual Awaitable<bool> writeChunk(std::string Data) = 0;
   virtual Awaitable<bool> endStream() = 0;
-  /// Closes the connection with the answer unfinished, so that no client can
-  /// take the part for the whole: the last chunk is never sent.
+  /// Closes the connection without sending the last chunk, so that no client
+  /// can take the incomplete response for a complete one.
   virtual void abort() = 0;
-  /// Calls \p Hook once, on the exchange's executor, when the caller closes
-  /// its side before the answer is sent.
+  /// Calls \p Hook once, on the exchange's executor, when the caller closes its
+  /// side before the response is sent.
   virtual void onCallerLeft(std::function<void()> Hook) = 0;
-  /// Looks at the connection itself: true when the caller has closed its side
-  /// by now, also where the event of it still waits for its turn.
+  /// Checks the socket itself: true when the caller has closed its side, even
+  /// if the corresponding event has not been dispatched yet.
   virtual bool hasCallerLeft() = 0;
 };
 
 using HttpHandler = std::function<Awaitable<void>(HttpExchange &)>;
 
-/// Builds the answer to a request that can't be parsed or is too large.
+/// Builds the response to a request that can't be parsed or is too large.
 using HttpRefusal = std::function<HttpResponse(Failure)>;
 
-/// What may change while a server listens.
+/// Limits that may change while the server is running.
 struct HttpLimits {
   std::size_t MaxHeaderBytes_;
   std::size_t MaxBodyBytes_;
-  /// How long an idle connection stays.
+  /// How long an idle connection is kept open.
   std::chrono::milliseconds IdleTimeout_;
 };
 
-/// Limits of one listening address, and what varies.
+/// Configuration of a server on one listening address.
 struct HttpServerOptions {
   Endpoint Address_;
   std::size_t MaxHeaderBytes_ = 16 * 1024;
   std::size_t MaxBodyBytes_ = 8 * 1024 * 1024;
   std::size_t MaxConnections_ = 10000;
-  /// How long a request may take to arrive, and an idle connection to stay.
+  /// How long a request may take to arrive, and how long an idle connection is
+  /// kept open.
   std::chrono::milliseconds ReadTimeout_{30000};
-  /// How long a caller may refuse to take any byte of its answer.
+  /// How long a caller may go without reading any byte of its response.
   std::chrono::milliseconds WriteTimeout_{30000};
   HttpHandler Handler_;
   HttpRefusal Refusal_;
-  /// Asked for each request; unset: the limits above hold throughout.
+  /// Called for each request; if unset, the limits above apply throughout.
   std::function<HttpLimits()> Limits_;
 };
 
-/// Accepts on one context and spreads the connections over worker contexts.
+/// Accepts connections on one context and distributes them over worker
+/// contexts.
 class HttpServer {
 public:
   virtual ~HttpServer() = default;
@@ -118,18 +124,21 @@
          std::vector<boost::asio::io_context *> Workers,
          HttpServerOptions Options);
   virtual Endpoint address() const = 0;
-  /// Accepts no more; answers from now on carry "Connection: close".
+  /// Stops accepting connections. Responses sent from now on carry "Connection:
+  /// close".
   virtual void stopAccepting() = 0;
-  /// Answers carry "Connection: close", while new connections are taken.
+  /// Responses carry "Connection: close" from now on; new connections are still
+  /// accepted.
   virtual void closeAfterAnswers() = 0;
   virtual std::size_t openConnections() const = 0;
-  /// Requests from their first byte in to their last byte out.
+  /// The number of requests whose first byte has been received and whose
+  /// response is not complete.
   virtual std::size_t activeExchanges() const = 0;
-  /// When the last connection was taken.
+  /// When the last connection was accepted.
   virtual std::chrono::steady_clock::time_point lastAccepted() const = 0;
 };
 
-/// The client's side of a connection; for use by one coroutine at a time.
+/// The client side of a connection, for use by one coroutine at a time.
 class HttpConnection {
 public:
   virtual ~HttpConnection() = default;
@@ -137,51 +146,55 @@
   static Awaitable<Result<std::unique_ptr<HttpConnection>>>
   connect(Endpoint Address, std::chrono::milliseconds Timeout);
 
-  /// Writes the request. An error leaves open whether bytes left. A long body
-  /// is still being written when this returns: the other side may answer
-  /// before it has read all of it.
+  /// Writes the request. After an error it is not known whether any bytes were
+  /// sent. A long body may still be being written when this returns, because
+  /// the server may respond before it has read all of it.
   virtual Awaitable<Result<void>> send(const HttpRequest &Request,
                                        std::chrono::milliseconds Timeout) = 0;
-  /// Takes a body that has no length and ends with its connection as whole,
+  /// Accepts a body without a length that ends with its connection as complete,
   /// unless the connection was reset.
   virtual void acceptUnframed() = 0;
-  /// How long the other side says that it keeps the connection while idle.
+  /// The keep-alive timeout that the server announced for idle connections.
   virtual std::optional<std::chrono::seconds> idleLimit() const = 0;
-  /// Reads the answer's head; its body is empty.
+  /// Reads the head of the response; the body of the result is empty.
+  /// \returns AnswerTimeout or ConnectionLost.
   virtual Awaitable<Result<HttpResponse>>
   readHead(std::chrono::milliseconds Timeout) = 0;
-  /// Reads some of the body. An empty text is the end, reached only when the
-  /// body was whole. \returns AnswerTimeout or ConnectionLost.
+  /// Reads a chunk of the body. An empty string marks the end and is returned
+  /// only when the body was complete.
+  /// \returns AnswerTimeout or ConnectionLost.
   virtual Awaitable<Result<std::string>>
   readSome(std::chrono::milliseconds Timeout) = 0;
-  /// True when the last answer was read to its end and the other side keeps
-  /// the connection open: only then may another request use it.
+  /// True when the last response was read to its end and the server keeps the
+  /// connection open. Only then may another request use it.
   virtual bool reusable() const = 0;
-  /// True while the other side has neither closed nor sent anything.
+  /// True while the server has neither closed the connection nor sent
+  /// unexpected bytes.
   virtual bool quiet() = 0;
-  /// When the last byte came in.
+  /// When the last byte was received.
   virtual std::chrono::steady_clock::time_point lastHeard() const = 0;
-  /// Makes a read that waits return ConnectionLost.
+  /// Closes the connection. A pending read returns ConnectionLost.
   virtual void close() = 0;
 };
 
-/// How long a call may take.
+/// Timeouts of one call.
 struct HttpCallLimits {
-  /// From its begin to the answer's head.
+  /// From the start of the call to the head of the response.
   std::chrono::milliseconds Head_;
-  /// For which the answer's body may stop coming.
+  /// The longest pause between two chunks of the response body.
   std::chrono::milliseconds Silence_;
-  /// From the answer's head to its end.
+  /// From the head of the response to its end.
   std::chrono::milliseconds Body_;
 };
 
-/// One exchange over a connection of its own. \p Coming is called, if set, when
-/// the answer's head is read.
+/// Sends one request over a connection of its own. \p Coming, if set, is called
+/// when the head of the response has been read.
 Awaitable<Result<HttpResponse>> httpCall(Endpoint Address, HttpRequest Request,
                                          HttpCallLimits Limits,
                                          std::function<void()> Coming);
 
-/// The same within \p Timeout in all.
+/// Sends one request over a connection of its own, with \p Timeout for the
+/// whole call.
 Awaitable<Result<HttpResponse>> httpCall(Endpoint Address, HttpRequest Request,
                                          std::chrono::milliseconds Timeout);
 
--- a/Source/Connection/HttpConnection.cpp
+++ b/Source/Connection/HttpConnection.cpp
@@ -23,19 +23,19 @@
 
 constexpr std::size_t MaxAnswerBytes = 64 * 1024 * 1024;
 constexpr std::size_t ReadBufferBytes = 16 * 1024;
-/// A longer body is written while the answer is awaited: a server may answer
-/// before it has read it, and read on later or never.
+/// A longer body is written while the response is awaited, because a server may
+/// respond before it has read the body, and read the rest later or never.
 constexpr std::size_t LongBodyBytes = 4096;
-/// A backend server that acknowledges nothing for this long, or no probe, is
-/// down or cut off: far longer than any network delay, and short enough that
-/// its requests can still be served elsewhere.
+/// Time after which a backend server that acknowledges no data or answers no
+/// probes counts as down or unreachable. It is far longer than any network
+/// delay, and short enough to serve the affected requests elsewhere.
 constexpr SilenceLimits BackendSilence{std::chrono::milliseconds(2000),
                                        std::chrono::seconds(1),
                                        std::chrono::seconds(1), 2};
 
 using Request = http::request<http::string_body>;
 
-/// What the writing of one request came to.
+/// The result of writing one request.
 struct SendState {
   bool Done_ = false;
   beast::error_code Error_;
@@ -60,7 +60,8 @@
 public:
   explicit BeastHttpConnection(std::shared_ptr<beast::tcp_stream> Stream)
       : Stream_(std::move(Stream)) {}
-  /// A body may still be being written by a coroutine that shares the stream.
+  /// Closes the stream, since a coroutine that shares it may still be writing a
+  /// body.
   ~BeastHttpConnection() override { Stream_->close(); }
 
   Awaitable<Result<void>> send(const HttpRequest &Request,
@@ -130,13 +131,15 @@
       if (Count > 0)
         co_return std::string(Space.data(), Count);
     }
-    // A body that ends with the connection has no mark of its own end: it may
-    // have been cut. Only a counted or chunked body can be known as whole.
+    // A body that is terminated by the end of the connection may have been
+    // truncated. Only a body with a length or in chunks is known to be
+    // complete.
     int Status = Parser_->get().result_int();
     bool Counted = Parser_->chunked() || Parser_->content_length() ||
                    Status == 204 || Status == 304;
     if (!Counted && !AcceptUnframed_)
-      co_return Failure{ResultCode::ConnectionLost, "body without length"};
+      co_return Failure{ResultCode::ConnectionLost,
+                        "response body has no length"};
     Whole_ = Counted && Parser_->keep_alive();
     co_return std::string();
   }
@@ -147,7 +150,8 @@
   }
 
   bool reusable() const override {
-    // With the body unsent, the next request's bytes would be taken for it.
+    // If the request body was not sent completely, the server would read the
+    // next request as a part of it.
     bool Sent = Sent_ && Sent_->Done_ && !Sent_->Error_;
     return Whole_ && Sent && Buffer_.size() == 0 && Stream_->socket().is_open();
   }
@@ -168,7 +172,7 @@
   }
 
 private:
-  /// "Keep-Alive: timeout=5, max=100".
+  /// Reads the timeout from a field like "Keep-Alive: timeout=5, max=100".
   void noteIdleLimit(const HttpResponse &Head) {
     auto Field = Head.Fields_.find("keep-alive");
     if (Field == Head.Fields_.end())
@@ -216,54 +220,57 @@
 
 namespace {
 
-/// What is left of a time, at least a moment.
-class TimeLeft {
+/// The time remaining until a deadline, at least one millisecond.
+class RemainingTime {
 public:
-  explicit TimeLeft(std::chrono::milliseconds Time)
-      : End_(std::chrono::steady_clock::now() + Time) {}
+  explicit RemainingTime(std::chrono::milliseconds Timeout)
+      : End_(std::chrono::steady_clock::now() + Timeout) {}
   std::chrono::milliseconds operator()() const {
-    auto Rest = std::chrono::duration_cast<std::chrono::milliseconds>(
+    auto Time = std::chrono::duration_cast<std::chrono::milliseconds>(
         End_ - std::chrono::steady_clock::now());
-    return std::max(Rest, std::chrono::milliseconds(1));
+    return std::max(Time, std::chrono::milliseconds(1));
   }
 
 private:
   std::chrono::steady_clock::time_point End_;
 };
 
-/// A call whose answer's head is read.
+/// A call whose response head has been read.
 struct AnsweredCall {
   std::unique_ptr<HttpConnection> Connection_;
   HttpResponse Head_;
 };
 
 Awaitable<Result<AnsweredCall>> beginCall(Endpoint Address, HttpRequest Request,
-                                          TimeLeft Left) {
-  auto Connected = co_await HttpConnection::connect(Address, Left());
+                                          RemainingTime Remaining) {
+  auto Connected = co_await HttpConnection::connect(Address, Remaining());
   if (!Connected)
     co_return Connected.error();
   AnsweredCall Call;
   Call.Connection_ = std::move(*Connected);
-  auto Sent = co_await Call.Connection_->send(Request, Left());
+  auto Sent = co_await Call.Connection_->send(Request, Remaining());
   if (!Sent)
     co_return Sent.error();
-  auto Head = co_await Call.Connection_->readHead(Left());
+  auto Head = co_await Call.Connection_->readHead(Remaining());
   if (!Head)
     co_return Head.error();
   Call.Head_ = std::move(*Head);
   co_return Call;
 }
 
-/// Each part that comes extends the time of silence, up to that of the whole.
-Awaitable<Result<HttpResponse>>
-endCall(AnsweredCall Call, std::chrono::milliseconds Silence, TimeLeft Left) {
+/// Reads the rest of the response. Each chunk restarts the timeout \p Silence,
+/// within the limit \p Remaining of the whole body.
+Awaitable<Result<HttpResponse>> endCall(AnsweredCall Call,
+                                        std::chrono::milliseconds Silence,
+                                        RemainingTime Remaining) {
   while (true) {
-    auto Part = co_await Call.Connection_->readSome(std::min(Silence, Left()));
-    if (!Part)
-      co_return Part.error();
-    if (Part->empty())
+    auto Chunk =
+        co_await Call.Connection_->readSome(std::min(Silence, Remaining()));
+    if (!Chunk)
+      co_return Chunk.error();
+    if (Chunk->empty())
       co_return std::move(Call.Head_);
-    Call.Head_.Body_ += *Part;
+    Call.Head_.Body_ += *Chunk;
   }
 }
 
@@ -272,24 +279,25 @@
 Awaitable<Result<HttpResponse>> httpCall(Endpoint Address, HttpRequest Request,
                                          HttpCallLimits Limits,
                                          std::function<void()> Coming) {
-  TimeLeft ToHead(Limits.Head_);
+  RemainingTime ToHead(Limits.Head_);
   auto Begun =
       co_await beginCall(std::move(Address), std::move(Request), ToHead);
   if (!Begun)
     co_return Begun.error();
   if (Coming)
     Coming();
-  TimeLeft ToEnd(Limits.Body_);
+  RemainingTime ToEnd(Limits.Body_);
   co_return co_await endCall(std::move(*Begun), Limits.Silence_, ToEnd);
 }
 
 Awaitable<Result<HttpResponse>> httpCall(Endpoint Address, HttpRequest Request,
                                          std::chrono::milliseconds Timeout) {
-  TimeLeft Left(Timeout);
-  auto Begun = co_await beginCall(std::move(Address), std::move(Request), Left);
+  RemainingTime Remaining(Timeout);
+  auto Begun =
+      co_await beginCall(std::move(Address), std::move(Request), Remaining);
   if (!Begun)
     co_return Begun.error();
-  co_return co_await endCall(std::move(*Begun), Timeout, Left);
+  co_return co_await endCall(std::move(*Begun), Timeout, Remaining);
 }
 
 } // namespace samphireshunt
--- a/Source/Connection/HttpServer.cpp
+++ b/Source/Connection/HttpServer.cpp
@@ -23,13 +23,16 @@
 using Tcp = asio::ip::tcp;
 
 constexpr std::size_t FirstReadBytes = 4096;
-/// A caller's VM that is gone without a word holds its connection this long.
+/// How long the connection of a caller whose VM disappeared without closing it
+/// is kept.
 constexpr SilenceLimits CallerSilence{std::chrono::milliseconds(10000),
                                       std::chrono::seconds(10),
                                       std::chrono::seconds(3), 3};
+/// How long the rest of a refused request is read and discarded.
 constexpr std::chrono::milliseconds DiscardTime{1000};
 
-/// What the connections of one server share; outlives the server itself.
+/// State shared by the connections of one server; it outlives the server
+/// itself.
 struct ServerState {
   HttpServerOptions Options_;
   std::atomic<bool> CloseAfterAnswers_ = false;
@@ -54,7 +57,8 @@
   return {ResultCode::MalformedRequest, Error.message()};
 }
 
-/// True when nobody is left to be told about \p Error.
+/// True when \p Error means that the caller is no longer connected, so that no
+/// response can be sent.
 bool isHangUp(const beast::error_code &Error) {
   return Error == http::error::end_of_stream || Error == asio::error::eof ||
          Error == asio::error::connection_reset ||
@@ -62,8 +66,8 @@
          Error == asio::error::operation_aborted;
 }
 
-/// Counts one request as running for as long as it lives, also when its handler
-/// throws: a stop waits for what runs.
+/// Counts one request as active during its lifetime, also when the handler
+/// throws. A graceful stop waits until the count is 0.
 class ActiveExchange {
 public:
   explicit ActiveExchange(std::atomic<std::size_t> &Count) : Count_(Count) {
@@ -77,22 +81,23 @@
   std::atomic<std::size_t> &Count_;
 };
 
-/// Closes a connection when what serves it ends, also by an exception. The
-/// look-out for the caller's end holds the session: without this the connection
-/// would stay open, and its caller wait for an answer that nobody writes.
-class ClosedAtEnd {
+/// Closes a connection when its session ends, also by an exception. The pending
+/// wait for the caller's disconnect keeps the session alive: without this class
+/// the connection would stay open, and the caller would wait for a response
+/// that is never written.
+class ConnectionCloser {
 public:
-  explicit ClosedAtEnd(beast::tcp_stream &Stream) : Stream_(Stream) {}
-  ~ClosedAtEnd() { Stream_.close(); }
-  ClosedAtEnd(const ClosedAtEnd &) = delete;
-  ClosedAtEnd &operator=(const ClosedAtEnd &) = delete;
+  explicit ConnectionCloser(beast::tcp_stream &Stream) : Stream_(Stream) {}
+  ~ConnectionCloser() { Stream_.close(); }
+  ConnectionCloser(const ConnectionCloser &) = delete;
+  ConnectionCloser &operator=(const ConnectionCloser &) = delete;
 
 private:
   beast::tcp_stream &Stream_;
 };
 
-/// One connection: reads a request, lets the handler answer it, and goes on
-/// while both sides keep the connection.
+/// One connection. It reads requests and passes them to the handler for as long
+/// as both sides keep the connection open.
 class Session : public HttpExchange,
                 public std::enable_shared_from_this<Session> {
 public:
@@ -103,7 +108,7 @@
   ~Session() override { --State_->OpenConnections_; }
 
   Awaitable<void> run() {
-    ClosedAtEnd Closing(Stream_);
+    ConnectionCloser Closing(Stream_);
     while (Stream_.socket().is_open()) {
       bool Begun = co_await awaitFirstByte();
       if (!Begun)
@@ -116,7 +121,7 @@
     Stream_.socket().shutdown(Tcp::socket::shutdown_send, Ignored);
   }
 
-  /// Refuses what came on this connection, and closes it.
+  /// Sends a refusal and closes the connection.
   Awaitable<void> refuse(Failure Cause) {
     KeepAlive_ = false;
     HttpResponse Response = State_->Options_.Refusal_(std::move(Cause));
@@ -130,7 +135,8 @@
   Awaitable<bool> respond(HttpResponse Response) override {
     http::response<http::string_body> Message;
     fillHead(Message, Response);
-    // An answer to HEAD has no body, or the next answer would be misread.
+    // A response to HEAD has no body; otherwise the client would misread the
+    // next response.
     if (Request_.Method_ != "HEAD")
       Message.body() = std::move(Response.Body_);
     Message.prepare_payload();
@@ -174,9 +180,9 @@
 
   void onCallerLeft(std::function<void()> Hook) override {
     CallerLeft_ = std::move(Hook);
-    if (Watching_)
+    if (AwaitingDisconnect_)
       return;
-    Watching_ = true;
+    AwaitingDisconnect_ = true;
     Stream_.socket().async_wait(
         Tcp::socket::wait_read,
         [Self = shared_from_this()](const beast::error_code &Error) {
@@ -185,7 +191,8 @@
         });
   }
 
-  /// Only a look at the bytes can tell an end from a pipelined request.
+  /// Peeks at the received bytes, the only way to distinguish the end of the
+  /// connection from a pipelined request.
   bool hasCallerLeft() override {
     if (!Stream_.socket().is_open())
       return true;
@@ -199,9 +206,10 @@
   }
 
 private:
-  /// Where the read of a request stands. A timer that is cancelled when its
-  /// handler is queued already would cancel what the connection does next.
-  enum class ReadState { Reading, Late, Over };
+  /// State of the read of a request. A timer whose handler is already queued
+  /// when it is cancelled would otherwise cancel the next operation of the
+  /// connection.
+  enum class ReadState { Reading, TimedOut, Finished };
 
   template <class Buffers> Awaitable<bool> writeBuffers(const Buffers &Data) {
     beast::error_code Error;
@@ -211,9 +219,10 @@
     co_return !Error;
   }
 
-  /// A connection that closes with bytes unread is reset, and the reset can
+  /// Reads and discards for a short time what the caller still sends. A
+  /// connection that is closed with unread bytes is reset, and the reset can
   /// overtake the refusal: the caller would see a broken connection instead of
-  /// the reason. So what it still sends is read for a short time.
+  /// the reason.
   Awaitable<void> discardRest() {
     beast::error_code Error;
     Stream_.socket().shutdown(Tcp::socket::shutdown_send, Error);
@@ -227,8 +236,8 @@
     }
   }
 
-  /// An idle connection waits here. It is told apart from one with a request
-  /// under way, which a graceful stop must not cut.
+  /// Waits for the first byte of a request. Idle connections are distinguished
+  /// from those with a request in progress, which a graceful stop must not cut.
   Awaitable<bool> awaitFirstByte() {
     if (Buffer_.size() > 0)
       co_return true;
@@ -241,7 +250,7 @@
     co_return !Error;
   }
 
-  /// \returns whether the request was answered to its end.
+  /// \returns whether the response was sent completely.
   Awaitable<bool> serveRequest() {
     ActiveExchange Running(State_->ActiveExchanges_);
     Answered_ = false;
@@ -249,7 +258,7 @@
     if (Read)
       co_await State_->Options_.Handler_(*this);
     CallerLeft_ = nullptr;
-    Watching_ = false;
+    AwaitingDisconnect_ = false;
     co_return Answered_;
   }
 
@@ -260,8 +269,8 @@
     Parser.body_limit(Limits.MaxBodyBytes_);
     beast::error_code Error;
     Stream_.expires_never();
-    // A timeout of the stream would close it, and the caller would not learn
-    // why: this one only ends the read.
+    // The stream's own timeout would close it without telling the caller why.
+    // This timer only ends the read.
     auto State = std::make_shared<ReadState>(ReadState::Reading);
     asio::steady_timer Limit(Stream_.get_executor(),
                              State_->Options_.ReadTimeout_);
@@ -269,15 +278,15 @@
         [Self = shared_from_this(), State](const beast::error_code &Ended) {
           if (Ended || *State != ReadState::Reading)
             return;
-          *State = ReadState::Late;
+          *State = ReadState::TimedOut;
           Self->Stream_.cancel();
         });
     co_await http::async_read(Stream_, Buffer_, Parser,
                               asio::redirect_error(asio::use_awaitable, Error));
-    bool Late = *State == ReadState::Late;
-    *State = ReadState::Over;
+    bool TimedOut = *State == ReadState::TimedOut;
+    *State = ReadState::Finished;
     Limit.cancel();
-    if (Error && Late) {
+    if (Error && TimedOut) {
       Failure Cause{ResultCode::ReadTimeout, Error.message()};
       co_await refuse(std::move(Cause));
       co_return false;
@@ -296,7 +305,7 @@
     for (const auto &Field : Message) {
       auto [Known, New] = Request_.Fields_.try_emplace(
           lowerCase(Field.name_string()), std::string(Field.value()));
-      // Fields of one name are one list.
+      // Fields with the same name form one list.
       if (!New)
         Known->second += ", " + std::string(Field.value());
     }
@@ -314,10 +323,10 @@
     Target.keep_alive(KeepAlive_);
   }
 
-  /// The socket is readable during the answer: a pipelined request, or the
-  /// caller's end of the connection.
+  /// Called when the socket becomes readable while a response is pending: the
+  /// caller has sent a pipelined request or closed the connection.
   void reportCallerLeft() {
-    if (!Watching_ || !Stream_.socket().is_open())
+    if (!AwaitingDisconnect_ || !Stream_.socket().is_open())
       return;
     if (hasCallerLeft() && CallerLeft_)
       std::exchange(CallerLeft_, nullptr)();
@@ -331,7 +340,7 @@
   unsigned Version_ = 11;
   bool KeepAlive_ = true;
   bool Answered_ = false;
-  bool Watching_ = false;
+  bool AwaitingDisconnect_ = false;
 };
 
 class BeastHttpServer : public HttpServer {
--- a/Source/Connection/PeerMessage.cpp
+++ b/Source/Connection/PeerMessage.cpp
@@ -4,8 +4,8 @@
 
 Result<wire::EnvelopeT> decodeMessage(std::string_view Bytes) {
   const auto *Data = reinterpret_cast<const std::uint8_t *>(Bytes.data());
-  // A peer of another release, or no peer at all, may write to this port:
-  // reading an unchecked buffer would follow offsets out of it.
+  // A daemon of another version, or a program that is no daemon, may write to
+  // this port. In an unverified buffer, offsets could point outside of it.
   flatbuffers::Verifier Verifier(Data, Bytes.size());
   if (!wire::VerifyEnvelopeBuffer(Verifier))
     return Failure{ResultCode::MalformedRequest, "not a peer message"};
--- a/Source/Connection/PeerMessage.h
+++ b/Source/Connection/PeerMessage.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Encoding and checked decoding of the messages between daemons.
+/// Encoding and validated decoding of the messages between daemons.
 
 #include "Common/Ids.h"
 #include "Common/ResultCode.h"
@@ -11,10 +11,11 @@
 
 namespace samphireshunt {
 
-/// A frame longer than this is refused: a document of a megabyte fits.
+/// Maximum size of a frame; longer ones are refused. A document of one megabyte
+/// fits.
 inline constexpr std::size_t MaxFrameBytes = 4 * 1024 * 1024;
 
-/// Encodes any body of the schema as one Envelope.
+/// Encodes any body table of the schema as one Envelope.
 template <class BodyTable> std::string encodeMessage(BodyTable Body) {
   wire::EnvelopeT Envelope;
   Envelope.body.Set(std::move(Body));
@@ -24,7 +25,8 @@
                      Builder.GetSize());
 }
 
-/// \returns MalformedRequest when \p Bytes are not a valid Envelope.
+/// Decodes one message.
+/// \returns MalformedRequest when \p Bytes is not a valid Envelope.
 Result<wire::EnvelopeT> decodeMessage(std::string_view Bytes);
 
 inline RequestId fromWire(const std::unique_ptr<wire::Id> &Id) {
--- a/Source/Connection/SocketOptions.cpp
+++ b/Source/Connection/SocketOptions.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 void setOption(int Socket, int Level, int Name, int Value) {
-  // Ignored on purpose, see limitSilence().
+  // Errors are ignored, see limitSilence().
   (void)setsockopt(Socket, Level, Name, &Value, sizeof(Value));
 }
 
--- a/Source/Connection/SocketOptions.h
+++ b/Source/Connection/SocketOptions.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Options of TCP sockets against peers that fall silent.
+/// TCP socket options that detect unresponsive peers.
 
 #include <boost/asio/ip/tcp.hpp>
 
@@ -8,8 +8,9 @@
 
 namespace samphireshunt {
 
-/// How long a peer may leave bytes unacknowledged, and an idle one may leave
-/// probes unanswered, before the connection counts as broken.
+/// How long a peer may leave sent bytes unacknowledged, and how many keep-alive
+/// probes it may leave unanswered while idle, before the connection counts as
+/// broken.
 struct SilenceLimits {
   std::chrono::milliseconds Unacknowledged_;
   std::chrono::seconds ProbeAfter_;
@@ -17,9 +18,10 @@
   int Probes_;
 };
 
-/// A VM without power, or behind a partition, sends nothing at all: without
-/// these limits a read from it waits for ever. Errors are ignored: a socket
-/// that can't take an option still works.
+/// Applies \p Limits to \p Socket. A VM that has lost power or is behind a
+/// network partition sends nothing at all; without these limits a read from it
+/// would wait forever. Errors are ignored: a socket that doesn't support an
+/// option still works.
 void limitSilence(boost::asio::ip::tcp::socket &Socket,
                   const SilenceLimits &Limits);
 
--- a/Source/Connection/Spawn.cpp
+++ b/Source/Connection/Spawn.cpp
@@ -14,7 +14,7 @@
   } catch (const std::exception &Error) {
     return Error.what();
   } catch (...) {
-    return "of a type without a text";
+    return "exception of unknown type";
   }
 }
 
--- a/Source/Connection/Spawn.h
+++ b/Source/Connection/Spawn.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Starts coroutines that nobody waits for.
+/// Starts detached coroutines.
 
 #include <boost/asio/co_spawn.hpp>
 
@@ -10,12 +10,13 @@
 
 namespace samphireshunt {
 
-/// Writes a line about an exception that left the coroutine \p Name.
+/// Logs an exception that escaped from the coroutine \p Name.
 void logEscapedException(std::string_view Name, std::exception_ptr Cause);
 
-/// Runs \p Start as a coroutine on \p Executor, which may be a context. Without
-/// the line an exception that leaves it would end it unseen: a watch that has
-/// ended so looks like a calm service, for good. \p Name is a literal.
+/// Runs \p Start as a detached coroutine on \p On, an executor or an execution
+/// context, and logs an exception that escapes from it. Without the log line, a
+/// watch that ended by an exception could not be distinguished from a service
+/// without changes. \p Name is a string literal.
 template <class Executor, class Function>
 void spawnLogged(Executor &&On, std::string_view Name, Function Start) {
   boost::asio::co_spawn(std::forward<Executor>(On), std::move(Start),
--- a/Source/Connection/TcpConnect.cpp
+++ b/Source/Connection/TcpConnect.cpp
@@ -12,9 +12,10 @@
 
 Awaitable<Result<asio::ip::tcp::socket>>
 connectTcp(Endpoint Address, std::chrono::milliseconds Timeout) {
-  // The stream's own timeout shares its state. The handler of a timer beside
-  // the socket can be queued already when the connection is made, outlive this
-  // coroutine, and close what lies in its memory by then.
+  // The stream's own timeout shares the state of the stream. The handler of a
+  // separate timer could already be queued when the connection is established,
+  // outlive this coroutine, and close an object that has since been placed at
+  // the same address.
   beast::tcp_stream Stream(co_await asio::this_coro::executor);
   beast::error_code Error;
   Stream.expires_after(Timeout);
--- a/Source/Connection/TcpConnect.h
+++ b/Source/Connection/TcpConnect.h
@@ -1,15 +1,15 @@
 #pragma once
 /// \file
-/// Opening a TCP connection within a time.
+/// Opens a TCP connection with a timeout.
 
 #include "Connection/Http.h"
 
 namespace samphireshunt {
 
-/// \returns ConnectFailed when \p Address refuses, or has not answered within
-/// \p Timeout. A connection that is made by the time this process looks is
-/// taken, also when the timeout is due in the same turn: then it is this
-/// process that was late.
+/// \returns ConnectFailed when \p Address refuses or has not answered within \p
+/// Timeout. A connection that is already established when the timeout is
+/// handled in the same event-loop iteration is still accepted: the delay was
+/// then in this process.
 Awaitable<Result<boost::asio::ip::tcp::socket>>
 connectTcp(Endpoint Address, std::chrono::milliseconds Timeout);
 
--- a/Tools/mutations.sh
+++ b/Tools/mutations.sh
@@ -209,7 +209,7 @@
   's/LastHeard_ = Error \? LastHeard_ : steady_clock::now\(\);/LastHeard_ = Error || Target.size() > 0 ? LastHeard_ : steady_clock::now();/' \
   ${U}Connection '*long frame that comes slowly*'
 mutate sign-behind-frame $S/Connection/FrameChannel.cpp \
-  's/  send\(encodeMessage\(signOfLife\(\)\)\);\n\}/}/' \
+  's/  send\(encodeMessage\(heartbeatReply\(\)\)\);\n\}/}/' \
   ${U}Connection '*takes a long frame says so*'
 mutate queue-bound $S/Connection/FrameChannel.cpp \
   's/return closeOverfull\(\);/;/' \
@@ -224,7 +224,7 @@
   's/ \|\| stableHash\(\*Text\) != Hash_//' \
   ${U}Process '*not what it was named as*'
 mutate closed-at-end $S/Connection/HttpServer.cpp \
-  's/~ClosedAtEnd\(\) \{ Stream_\.close\(\); \}/~ClosedAtEnd() {}/' \
+  's/~ConnectionCloser\(\) \{ Stream_\.close\(\); \}/~ConnectionCloser() {}/' \
   ${U}Connection "*looks out for its caller's end closes*"
 mutate levels-of-body $S/Request/CallerService.cpp \
   's/TooDeep \|= Level > MostLevels;/TooDeep |= Level > 1000 * MostLevels * 1000;/' \
