--- a/Generated/Peer_generated.h
+++ b/Generated/Peer_generated.h
@@ -551,7 +551,7 @@
 };
 FLATBUFFERS_STRUCT_END(Id, 16);
 
-/// A part of a prompt that other prompts may begin with too.
+/// A part of a prompt with which other prompts may begin too.
 FLATBUFFERS_MANUALLY_ALIGNED_STRUCT(8) Part FLATBUFFERS_FINAL_CLASS {
  private:
   uint64_t id_;
@@ -696,7 +696,7 @@
   AskT &operator=(AskT o) FLATBUFFERS_NOEXCEPT;
 };
 
-/// Asks the cell's keeper for an engine.
+/// Requests a grant for an engine from the keeper of the cell.
 struct Ask FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef AskT NativeTableType;
   typedef AskBuilder Builder;
@@ -752,27 +752,29 @@
   uint64_t document_version() const {
     return GetField<uint64_t>(VT_DOCUMENT_VERSION, 0);
   }
-  /// Time within which the first event is worth most; 0 is none.
+  /// Time within which the first event has its full value; 0 is none.
   uint32_t objective_ms() const {
     return GetField<uint32_t>(VT_OBJECTIVE_MS, 0);
   }
-  /// The longest that the request may wait; 0 is up to its deadline.
+  /// The longest time that the request may wait; 0 is until its deadline.
   uint32_t max_wait_ms() const {
     return GetField<uint32_t>(VT_MAX_WAIT_MS, 0);
   }
-  /// The caller's own guess of the answer's tokens; 0 is none.
+  /// The caller's estimate of the number of tokens of the answer; 0 is none.
   uint32_t guessed_tokens() const {
     return GetField<uint32_t>(VT_GUESSED_TOKENS, 0);
   }
-  /// The caller came back, or another cell refused the request before.
+  /// The caller retries the request, or another cell refused it before.
   bool asked_before() const {
     return GetField<uint8_t>(VT_ASKED_BEFORE, 0) != 0;
   }
-  /// What `prefix` is made of, where that is shorter; `prefix` is empty then.
+  /// The prompt parts from which `prefix` is computed, where that is shorter;
+  /// `prefix` is empty then.
   const flatbuffers::Vector<const samphireshunt::wire::Part *> *parts() const {
     return GetPointer<const flatbuffers::Vector<const samphireshunt::wire::Part *> *>(VT_PARTS);
   }
-  /// The longest pause between events of an answer in time; 0 is any.
+  /// The longest pause between events with which an answer still meets its
+  /// objective; 0 is no limit.
   uint32_t max_pause_ms() const {
     return GetField<uint32_t>(VT_MAX_PAUSE_MS, 0);
   }
@@ -970,7 +972,8 @@
   WithdrawT &operator=(WithdrawT o) FLATBUFFERS_NOEXCEPT;
 };
 
-/// The entry no longer waits; a grant that is under way will be handed back.
+/// The ingress daemon no longer waits; a grant that has already been sent will
+/// be returned.
 struct Withdraw FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef WithdrawT NativeTableType;
   typedef WithdrawBuilder Builder;
@@ -1196,7 +1199,7 @@
   CancelT &operator=(CancelT o) FLATBUFFERS_NOEXCEPT;
 };
 
-/// The keeper takes a running request's engine for a higher tier.
+/// The keeper revokes the engine of a running request for a higher tier.
 struct Cancel FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef CancelT NativeTableType;
   typedef CancelBuilder Builder;
@@ -1270,7 +1273,8 @@
   RunningT &operator=(RunningT o) FLATBUFFERS_NOEXCEPT;
 };
 
-/// Tells the keeper that a granted request runs; sent again to a new keeper.
+/// Notifies the keeper that a granted request is running; sent again to a new
+/// keeper.
 struct Running FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef RunningT NativeTableType;
   typedef RunningBuilder Builder;
@@ -1475,15 +1479,16 @@
   uint32_t duration_us() const {
     return GetField<uint32_t>(VT_DURATION_US, 0);
   }
-  /// The server could not be reached, broke off or answered with an error.
+  /// The server could not be reached, closed the connection early or answered
+  /// with an error.
   bool faulty() const {
     return GetField<uint8_t>(VT_FAULTY, 0) != 0;
   }
-  /// Another server answered at its address.
+  /// A different server answered at this server's address.
   bool replaced() const {
     return GetField<uint8_t>(VT_REPLACED, 0) != 0;
   }
-  /// Tokens in the first event.
+  /// The number of tokens in the first event.
   uint32_t at_once() const {
     return GetField<uint32_t>(VT_AT_ONCE, 1);
   }
@@ -1627,7 +1632,7 @@
   FirstTokenT &operator=(FirstTokenT o) FLATBUFFERS_NOEXCEPT;
 };
 
-/// The engine gave a granted request's first token.
+/// The engine returned the first token of a granted request.
 struct FirstToken FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef FirstTokenT NativeTableType;
   typedef FirstTokenBuilder Builder;
@@ -1860,7 +1865,7 @@
   uint32_t link_mbps = 0;
 };
 
-/// What a daemon says of itself or of another one.
+/// The state of a daemon, as reported by itself or by another daemon.
 struct Member FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef MemberT NativeTableType;
   typedef MemberBuilder Builder;
@@ -1895,7 +1900,7 @@
   const flatbuffers::String *data_center() const {
     return GetPointer<const flatbuffers::String *>(VT_DATA_CENTER);
   }
-  /// What its network link carries, in Mbit/s; 0 is unknown.
+  /// Bandwidth of its network link in Mbit/s; 0 is unknown.
   uint32_t link_mbps() const {
     return GetField<uint32_t>(VT_LINK_MBPS, 0);
   }
@@ -2092,7 +2097,7 @@
   uint32_t remaining_ms = 0;
 };
 
-/// The lowest tier that a pool still admits.
+/// The admission floor of a pool: the lowest tier that it still admits.
 struct Floor FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef FloorT NativeTableType;
   typedef FloorBuilder Builder;
@@ -2219,7 +2224,7 @@
   const samphireshunt::wire::Member *sender() const {
     return GetPointer<const samphireshunt::wire::Member *>(VT_SENDER);
   }
-  /// Set when a third daemon is to be probed for the sender.
+  /// Set when the receiver is to probe a third daemon on behalf of the sender.
   const flatbuffers::String *target() const {
     return GetPointer<const flatbuffers::String *>(VT_TARGET);
   }
@@ -2536,7 +2541,8 @@
   bool answer = false;
 };
 
-/// Sent on an idle link, and answered: a link that is silent is dead.
+/// Sent on an idle link and answered by the peer. A link without an answer is
+/// closed.
 struct Heartbeat FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef HeartbeatT NativeTableType;
   typedef HeartbeatBuilder Builder;
@@ -2593,8 +2599,8 @@
   uint64_t digest = 0;
 };
 
-/// Asks what a daemon that reads the platform's service believes, after a
-/// number of its changes.
+/// Requests the changes that a reader of the platform's service has applied
+/// after a given change number.
 struct Follow FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef FollowT NativeTableType;
   typedef FollowBuilder Builder;
@@ -2605,23 +2611,24 @@
     VT_TEXT_APART = 12,
     VT_DIGEST = 14
   };
-  /// Comes back with the answer.
+  /// Copied into the answer.
   uint32_t sequence() const {
     return GetField<uint32_t>(VT_SEQUENCE, 0);
   }
-  /// The process that the number is of.
+  /// The incarnation of the process that assigned the number.
   uint64_t incarnation() const {
     return GetField<uint64_t>(VT_INCARNATION, 0);
   }
   uint64_t number() const {
     return GetField<uint64_t>(VT_NUMBER, 0);
   }
-  /// The configuration's text is asked for apart, by its version; without this,
-  /// as by daemons of earlier versions, it comes among the entries.
+  /// The configuration's text is requested separately, by its version. Without
+  /// this flag, as from daemons of earlier versions, the text is sent among the
+  /// entries.
   bool text_apart() const {
     return GetField<uint8_t>(VT_TEXT_APART, 0) != 0;
   }
-  /// Of the servers that the asking daemon believes in; 0 is none.
+  /// Digest of the servers known to the requesting daemon; 0 is none.
   uint64_t digest() const {
     return GetField<uint64_t>(VT_DIGEST, 0);
   }
@@ -2718,7 +2725,7 @@
   bool deleted() const {
     return GetField<uint8_t>(VT_DELETED, 0) != 0;
   }
-  /// Of the service, when the entry was written.
+  /// The era of the service when the entry was written.
   uint64_t era() const {
     return GetField<uint64_t>(VT_ERA, 0);
   }
@@ -2832,7 +2839,8 @@
   StateT &operator=(StateT o) FLATBUFFERS_NOEXCEPT;
 };
 
-/// The answer; with sequence 0 sent by itself, when something has changed.
+/// The answer to Follow. With sequence 0 it is sent unrequested, after a
+/// change.
 struct State FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef StateT NativeTableType;
   typedef StateBuilder Builder;
@@ -2867,75 +2875,77 @@
   uint64_t number() const {
     return GetField<uint64_t>(VT_NUMBER, 0);
   }
-  /// The entries are the changes after this number.
+  /// The entries are the changes after this change number.
   uint64_t after() const {
     return GetField<uint64_t>(VT_AFTER, 0);
   }
-  /// All that is believed, not only changes.
+  /// The entries are the complete state, not only changes.
   bool complete() const {
     return GetField<uint8_t>(VT_COMPLETE, 0) != 0;
   }
-  /// The newest revision of the service that is taken in.
+  /// The newest revision of the service that has been applied.
   uint64_t revision() const {
     return GetField<uint64_t>(VT_REVISION, 0);
   }
-  /// How long ago the service was asked last whose answer is taken in.
+  /// The time since the service was asked for the most recent answer that has
+  /// been applied.
   uint32_t age_ms() const {
     return GetField<uint32_t>(VT_AGE_MS, 0);
   }
-  /// False when this daemon follows another one itself.
+  /// False when this daemon itself follows another one.
   bool reads_service() const {
     return GetField<uint8_t>(VT_READS_SERVICE, 0) != 0;
   }
   const flatbuffers::Vector<flatbuffers::Offset<samphireshunt::wire::StateEntry>> *entries() const {
     return GetPointer<const flatbuffers::Vector<flatbuffers::Offset<samphireshunt::wire::StateEntry>> *>(VT_ENTRIES);
   }
-  /// Where the configuration's text is asked for apart: its size in bytes; 0 is
-  /// none.
+  /// If the configuration's text is requested separately: its size in bytes; 0
+  /// is none.
   uint64_t text_size() const {
     return GetField<uint64_t>(VT_TEXT_SIZE, 0);
   }
-  /// How long ago the sender read that text.
+  /// The time since the sender read that text.
   uint32_t text_age_ms() const {
     return GetField<uint32_t>(VT_TEXT_AGE_MS, 0);
   }
-  /// Of the configuration's document; 0 is none.
+  /// Version of the configuration's document; 0 is none.
   uint64_t text_version() const {
     return GetField<uint64_t>(VT_TEXT_VERSION, 0);
   }
-  /// Of the service, at `revision`.
+  /// The era of the service at `revision`.
   uint64_t era() const {
     return GetField<uint64_t>(VT_ERA, 0);
   }
-  /// The service's revision when the sender saw the era begin; 0 when it did
-  /// not.
+  /// The revision of the service when the sender saw the era begin; 0 when it
+  /// did not see that.
   uint64_t era_first() const {
     return GetField<uint64_t>(VT_ERA_FIRST, 0);
   }
-  /// How much longer than `age_ms` ago the configuration was known to be the
-  /// newest.
+  /// How much longer than `age_ms` ago the configuration was last known to be
+  /// the newest.
   uint32_t unconfirmed_ms() const {
     return GetField<uint32_t>(VT_UNCONFIRMED_MS, 0);
   }
-  /// Keys of which the sender can't say whether they still stand.
+  /// Keys for which the sender doesn't know whether they are still valid.
   const flatbuffers::Vector<flatbuffers::Offset<flatbuffers::String>> *unsure() const {
     return GetPointer<const flatbuffers::Vector<flatbuffers::Offset<flatbuffers::String>> *>(VT_UNSURE);
   }
-  /// The service has no entry of the daemon that is answered.
+  /// The service has no entry for the daemon to which this answer is sent.
   bool lacks_entry() const {
     return GetField<uint8_t>(VT_LACKS_ENTRY, 0) != 0;
   }
-  /// Of the servers that are believed in, where the asking daemon believes in
-  /// the same: then no entries are told, and `after` does not count. 0 where it
-  /// does not.
+  /// Digest of the known servers, if the requesting daemon knows the same ones.
+  /// No entries are sent then, and `after` has no meaning. 0 if the servers
+  /// differ.
   uint64_t same_digest() const {
     return GetField<uint64_t>(VT_SAME_DIGEST, 0);
   }
-  /// Many entries, as a compressed State with nothing else; 0 bytes are none.
+  /// A large number of entries, as a compressed State that contains nothing
+  /// else; empty if there is none.
   const flatbuffers::Vector<uint8_t> *packed() const {
     return GetPointer<const flatbuffers::Vector<uint8_t> *>(VT_PACKED);
   }
-  /// Of that State.
+  /// Uncompressed size of that State in bytes.
   uint32_t packed_from() const {
     return GetField<uint32_t>(VT_PACKED_FROM, 0);
   }
@@ -3152,8 +3162,8 @@
   uint64_t held_version = 0;
 };
 
-/// Asks for a part of the configuration's text, compressed with an earlier text
-/// as the prefix.
+/// Requests a chunk of the configuration's text, compressed with an earlier
+/// text as the prefix.
 struct TextAsk FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef TextAskT NativeTableType;
   typedef TextAskBuilder Builder;
@@ -3162,14 +3172,14 @@
     VT_VERSION = 10,
     VT_HELD_VERSION = 12
   };
-  /// Where the part begins in the compressed text.
+  /// Offset of the chunk in the compressed text.
   uint32_t offset() const {
     return GetField<uint32_t>(VT_OFFSET, 0);
   }
   uint64_t version() const {
     return GetField<uint64_t>(VT_VERSION, 0);
   }
-  /// Of the text that the asking daemon holds; 0 is none.
+  /// Version of the text that the requesting daemon has; 0 is none.
   uint64_t held_version() const {
     return GetField<uint64_t>(VT_HELD_VERSION, 0);
   }
@@ -3249,7 +3259,7 @@
   uint32_t offset() const {
     return GetField<uint32_t>(VT_OFFSET, 0);
   }
-  /// Of the whole text; 0 when this daemon does not have it.
+  /// Uncompressed size of the whole text; 0 when this daemon doesn't have it.
   uint32_t size() const {
     return GetField<uint32_t>(VT_SIZE, 0);
   }
@@ -3265,7 +3275,7 @@
   uint64_t version() const {
     return GetField<uint64_t>(VT_VERSION, 0);
   }
-  /// Of the prefix; 0 is none.
+  /// Version of the text that is the prefix; 0 is none.
   uint64_t held_version() const {
     return GetField<uint64_t>(VT_HELD_VERSION, 0);
   }
