--- a/Source/Common/BootClock.h
+++ b/Source/Common/BootClock.h
@@ -1,8 +1,8 @@
 #pragma once
 /// \file
-/// A clock that counts the time for which a VM is suspended. The steady clock
-/// stands still then: a lease measured by it would look fresh after a pause
-/// that outlasted it.
+/// A clock that continues while a VM is suspended. The steady clock stops then:
+/// a lease measured by it would look fresh after a suspension that was longer
+/// than the lease.
 
 #include <chrono>
 #include <ctime>
@@ -14,8 +14,7 @@
   using rep = duration::rep;
   using period = duration::period;
   using time_point = std::chrono::time_point<BootClock>;
-  // The standard's names for them.
-  // NOLINTNEXTLINE
+  // Names required by the standard.
   static constexpr bool is_steady = true;
   // NOLINTNEXTLINE
   static time_point now() {
--- a/Source/Common/CrashReport.cpp
+++ b/Source/Common/CrashReport.cpp
@@ -17,18 +17,19 @@
 namespace {
 
 constexpr std::array FatalSignals = {SIGSEGV, SIGBUS, SIGILL, SIGFPE, SIGABRT};
-constexpr std::size_t MostFrames = 48;
-/// The handler's own stack: one that overflowed can't be used.
+constexpr std::size_t MaxFrames = 48;
+/// The handler runs on a stack of its own, since the thread's stack may have
+/// overflowed.
 constexpr std::size_t HandlerStackBytes = 64 * 1024;
-constexpr std::size_t MostLineBytes = 8 * 1024;
-constexpr std::size_t MostNameBytes = 120;
+constexpr std::size_t MaxLineBytes = 8 * 1024;
+constexpr std::size_t MaxNameBytes = 120;
 
-// What the handler reads and writes: it may allocate nothing.
+// State of the signal handler, which must not allocate memory.
 std::array<char, HandlerStackBytes> HandlerStack;
 std::array<char, 64> Vm;
 int Output = STDERR_FILENO;
 
-/// Builds one line in a buffer of its own.
+/// Formats one line in a fixed-size buffer; text beyond its end is dropped.
 class CrashLine {
 public:
   CrashLine &operator<<(std::string_view Text) {
@@ -44,18 +45,18 @@
             .ptr;
     return *this << std::string_view(Digits.data(), End);
   }
-  /// The code at \p Address: its file, its place there, which stays the same
-  /// wherever the file is loaded, and its function where that has a name.
+  /// Appends the code location \p Address: the object file, the offset in it,
+  /// which is independent of the load address, and the name of the function if
+  /// it has one.
   CrashLine &place(void *Address) {
-    Dl_info Known{};
-    if (!dladdr(Address, &Known) || !Known.dli_fname)
+    Dl_info Info{};
+    if (!dladdr(Address, &Info) || !Info.dli_fname)
       return (*this << "0x").number(address(Address), 16);
-    std::string_view File(Known.dli_fname);
+    std::string_view File(Info.dli_fname);
     *this << File.substr(File.rfind('/') + 1) << "+0x";
-    number(address(Address) - address(Known.dli_fbase), 16);
-    if (Known.dli_sname)
-      *this << " "
-            << std::string_view(Known.dli_sname).substr(0, MostNameBytes);
+    number(address(Address) - address(Info.dli_fbase), 16);
+    if (Info.dli_sname)
+      *this << " " << std::string_view(Info.dli_sname).substr(0, MaxNameBytes);
     return *this;
   }
   void write() {
@@ -74,7 +75,7 @@
     return reinterpret_cast<std::uintptr_t>(Pointer);
   }
 
-  std::array<char, MostLineBytes> Bytes_;
+  std::array<char, MaxLineBytes> Bytes_;
   std::size_t Size_ = 0;
 };
 
@@ -83,9 +84,9 @@
        << R"(","category":"process","event":")" << Event << R"(")";
 }
 
-/// Ends the line with the stack of who calls.
+/// Completes the line with the stack of the caller, and writes it.
 void writeWithStack(CrashLine &Line) {
-  std::array<void *, MostFrames> Frames;
+  std::array<void *, MaxFrames> Frames;
   int Count = backtrace(Frames.data(), static_cast<int>(Frames.size()));
   Line << R"(,"stack":[)";
   for (int Index = 0; Index < Count; ++Index) {
@@ -96,8 +97,9 @@
   Line.write();
 }
 
-/// Uses only what may be called when the heap or a lock is broken. A second
-/// fault, in here, ends the process at once: the signal's action was reset.
+/// Handles a fatal signal. Uses only functions that work when the heap or a
+/// lock is corrupted. A second fault in here ends the process immediately,
+/// because the action of the signal has been reset.
 void onFatalSignal(int Number, siginfo_t *Cause, void *) {
   CrashLine Line;
   beginLine(Line, "ended-by-signal");
@@ -105,17 +107,18 @@
   Line.number(static_cast<std::uintptr_t>(Number), 10) << R"(","address":"0x)";
   Line.number(reinterpret_cast<std::uintptr_t>(Cause->si_addr), 16) << R"(")";
   writeWithStack(Line);
-  // The process ends by the signal, as it would have without this.
+  // End the process by the same signal as without this handler.
   std::raise(Number);
 }
 
-/// What \p Text says, fit for a line of JSON.
-std::string plain(std::string_view Text) {
-  std::string Plain(Text);
+/// \returns \p Text with control characters, quotes and backslashes replaced by
+/// spaces, so that it can be written into a JSON string.
+std::string jsonSafeText(std::string_view Text) {
+  std::string Safe(Text);
   std::ranges::replace_if(
-      Plain, [](unsigned char C) { return C < ' ' || C == '"' || C == '\\'; },
+      Safe, [](unsigned char C) { return C < ' ' || C == '"' || C == '\\'; },
       ' ');
-  return Plain;
+  return Safe;
 }
 
 std::string describeCurrentException() {
@@ -124,20 +127,20 @@
   try {
     std::rethrow_exception(std::current_exception());
   } catch (const std::exception &Error) {
-    return plain(Error.what());
+    return jsonSafeText(Error.what());
   } catch (...) {
-    return "of a type without a text";
+    return "exception of unknown type";
   }
 }
 
-/// An exception that nobody catches aborts the process. Not all systems let a
-/// handler of that signal run; here the stack is still the one that threw.
+/// Handles an uncaught exception, which aborts the process. Some systems don't
+/// run a handler of SIGABRT; here the stack is still the one that threw.
 [[noreturn]] void onTerminate() {
   CrashLine Line;
   beginLine(Line, "ended-by-exception");
   Line << R"(,"detail":")" << describeCurrentException() << R"(")";
   writeWithStack(Line);
-  // One line is enough.
+  // The handler of SIGABRT would write a second line.
   std::signal(SIGABRT, SIG_DFL);
   std::abort();
 }
@@ -148,7 +151,7 @@
   std::size_t Count = std::min(Origin.size(), Vm.size() - 1);
   std::copy_n(Origin.begin(), Count, Vm.begin());
   Output = Descriptor;
-  // The first call loads a library, which allocates.
+  // The first call of backtrace() loads a library, which allocates memory.
   std::array<void *, 1> Unused;
   backtrace(Unused.data(), 1);
   stack_t Stack{};
--- a/Source/Common/CrashReport.h
+++ b/Source/Common/CrashReport.h
@@ -1,18 +1,17 @@
 #pragma once
 /// \file
-/// What a process says when a signal or an exception ends it.
+/// Logs a signal or an uncaught exception that ends the process.
 
 #include <string_view>
 
 namespace samphireshunt {
 
-/// Makes each signal that ends this process by a fault of its own, and each
-/// exception that nobody catches, write one line to \p Descriptor first: the
-/// signal and the address that was touched, or what the exception says, and the
-/// stack. A process that ends so loses all requests that it runs, and without
-/// the line its logs stop in the middle of a calm second: which of many
-/// suspects it was can't be told. \p Origin names the VM. Called once, from the
-/// main thread, before others are started.
+/// Installs handlers that write one log line to \p Descriptor before a fatal
+/// signal or an uncaught exception ends this process: the signal and the
+/// faulting address, or the text of the exception, and the stack. Without the
+/// line, the log of a process that crashes just stops, and the cause of the
+/// loss of all its requests can't be determined. \p Origin is the name of the
+/// VM. Called once, from the main thread, before other threads are started.
 void reportCrashes(std::string_view Origin, int Descriptor);
 
 } // namespace samphireshunt
--- a/Source/Common/Hash.h
+++ b/Source/Common/Hash.h
@@ -1,6 +1,7 @@
 #pragma once
 /// \file
-/// Hashes: fast ones for placement, a cryptographic one for secrets and keys.
+/// Hash functions: a fast one for placement, a cryptographic one for secrets
+/// and keys.
 
 #include <cstdint>
 #include <string>
@@ -8,10 +9,11 @@
 
 namespace samphireshunt {
 
-/// A 64-bit hash (xxHash) that is the same on every VM and in every release.
+/// \returns a 64-bit hash (xxHash) that is the same on every VM and in every
+/// release.
 std::uint64_t stableHash(std::string_view Text, std::uint64_t Seed = 0);
 
-/// The SHA-256 of \p Text as 64 lower-case hexadecimal digits.
+/// \returns the SHA-256 of \p Text as 64 lower-case hexadecimal digits.
 std::string sha256Hex(std::string_view Text);
 
 } // namespace samphireshunt
--- a/Source/Common/Ids.h
+++ b/Source/Common/Ids.h
@@ -1,7 +1,7 @@
 #pragma once
 /// \file
-/// Strong types for ids and units. Two ids of different kinds never convert
-/// into one another, so a server's name can't be passed for a customer's.
+/// Strong types for ids and quantities. Ids of different kinds don't convert
+/// into one another, so that a server's name can't be passed for a customer's.
 
 #include <compare>
 #include <cstdint>
@@ -12,21 +12,22 @@
 
 namespace samphireshunt {
 
-/// A text id of one kind; \p Tag is never defined and only tells kinds apart.
+/// A text id of one kind. \p Tag is never defined and only distinguishes the
+/// kinds.
 template <class Tag> class TextId {
 public:
   TextId() = default;
   explicit TextId(std::string Text) : Text_(std::move(Text)) {}
   const std::string &str() const { return Text_; }
   bool empty() const { return Text_.empty(); }
-  // NOLINTNEXTLINE: blames the code that the compiler writes here.
+  // NOLINTNEXTLINE: the warning is about compiler-generated code.
   auto operator<=>(const TextId &) const = default;
 
 private:
   std::string Text_;
 };
 
-/// A number with a unit or a kind of its own.
+/// A number with a unit or kind of its own.
 template <class Tag, class Value = std::uint64_t> class Quantity {
 public:
   constexpr Quantity() = default;
@@ -62,25 +63,27 @@
 
 /// Tokens of a prompt or an answer.
 using Tokens = Quantity<struct TokensTag, std::int64_t>;
-/// A document's version: starts at 1, only goes up.
+/// The version of a document. It starts at 1 and only increases.
 using DocumentVersion = Quantity<struct DocumentVersionTag>;
-/// Milliseconds since the epoch at which a process started; of two processes
-/// with one VmId or ServerName, the higher is the later one. 0 is unknown.
+/// Start time of a process in milliseconds since the epoch. Of two processes
+/// with the same VmId or ServerName, the one with the higher value is newer. 0
+/// is unknown.
 using Incarnation = Quantity<struct IncarnationTag>;
-/// A tier's place in the document: 0 is the highest tier.
+/// The index of a tier in the document; 0 is the highest tier.
 using TierIndex = Quantity<struct TierTag, std::uint32_t>;
 
-/// Names one request in the whole fleet: the process that accepted it and a
-/// number that this process never uses twice.
+/// Identifies one request in the whole fleet by the process that accepted it
+/// and a number that this process never reuses.
 struct RequestId {
   std::uint64_t Origin_ = 0;
   std::uint64_t Sequence_ = 0;
   // NOLINTNEXTLINE: as above.
   auto operator<=>(const RequestId &) const = default;
 
-  /// The id as 32 hexadecimal digits with a dash in the middle.
+  /// \returns the id as 32 hexadecimal digits with a dash in the middle.
   std::string str() const;
-  /// \returns nothing when \p Text is not what str() writes.
+  /// Parses the format written by str().
+  /// \returns nothing for any other text.
   static std::optional<RequestId> parse(std::string_view Text);
 };
 
--- a/Source/Common/Log.cpp
+++ b/Source/Common/Log.cpp
@@ -61,17 +61,17 @@
 
 std::optional<std::uint64_t>
 LogSampler::admit(int Kind, std::chrono::steady_clock::time_point Now) {
-  Window &Present = Windows_[Kind];
-  if (Now - Present.Begin_ >= std::chrono::seconds(1)) {
-    Present.Begin_ = Now;
-    Present.Written_ = 0;
+  Window &Current = Windows_[Kind];
+  if (Now - Current.Begin_ >= std::chrono::seconds(1)) {
+    Current.Begin_ = Now;
+    Current.Written_ = 0;
   }
-  if (Present.Written_ >= LinesPerSecond_) {
-    ++Present.Dropped_;
+  if (Current.Written_ >= LinesPerSecond_) {
+    ++Current.Dropped_;
     return std::nullopt;
   }
-  ++Present.Written_;
-  return std::exchange(Present.Dropped_, 0);
+  ++Current.Written_;
+  return std::exchange(Current.Dropped_, 0);
 }
 
 } // namespace samphireshunt
--- a/Source/Common/Log.h
+++ b/Source/Common/Log.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Structured logs: one JSON object a line on standard output, by spdlog.
+/// Structured logging by spdlog: one JSON object per line.
 
 #include <spdlog/spdlog.h>
 
@@ -15,31 +15,31 @@
 
 namespace samphireshunt {
 
-/// Subsystems that log under a name of their own.
+/// Subsystems, each logged under its own name.
 enum class LogCategory { Request, Keeper, Membership, Version, Process };
 
-/// Further fields of one line, in the order in which they are written.
+/// Additional fields of one line, in the order in which they are written.
 using LogFields = std::vector<std::pair<std::string_view, std::string>>;
 
 enum class LogOutput { StandardOutput, StandardError };
 
-/// Sends all lines to \p Output as JSON; \p Origin names the VM.
+/// Writes all log lines to \p Output as JSON. \p Origin is the name of the VM.
 void initializeLog(std::string_view Origin, spdlog::level::level_enum Level,
                    LogOutput Output);
 
-/// Writes one line: time, level, category, \p Event and \p Fields.
+/// Writes one line with time, level, category, \p Event and \p Fields.
 void logEvent(LogCategory Category, spdlog::level::level_enum Level,
               std::string_view Event, const LogFields &Fields = {});
 
-/// Lets a few lines of a kind through each second, so that a flood of like
-/// events neither fills the logs nor slows requests. Not thread-safe.
+/// Limits the number of lines of each kind per second, so that many similar
+/// events neither fill the logs nor slow down requests. Not thread-safe.
 class LogSampler {
 public:
   explicit LogSampler(std::uint32_t LinesPerSecond)
       : LinesPerSecond_(LinesPerSecond) {}
 
-  /// \returns nothing when the line is to be dropped; otherwise how many of
-  /// its kind were dropped before it.
+  /// \returns nothing when the line is to be dropped; otherwise the number of
+  /// lines of this kind that were dropped since the last admitted one.
   std::optional<std::uint64_t> admit(int Kind,
                                      std::chrono::steady_clock::time_point Now);
 
--- a/Source/Common/LogSink.cpp
+++ b/Source/Common/LogSink.cpp
@@ -18,15 +18,16 @@
   formatter_->format(Message, Line);
   if (Backlog_.size() + Line.size() > MaxBacklogBytes) {
     ++Dropped_;
-    ++DroppedToTell_;
+    ++UnreportedDrops_;
     return writeBacklog();
   }
   Backlog_.append(Line.data(), Line.size());
   writeBacklog();
 }
 
-/// A write error other than "not now" has nobody to be told to; what could not
-/// be written stays until it can be, within the limit.
+/// Writes as much of the buffer as the descriptor accepts. No write error is
+/// reported, since there is nowhere to report it; unwritten lines stay in the
+/// buffer, within its limit.
 void NonBlockingSink::writeBacklog() {
   while (!Backlog_.empty()) {
     ssize_t Written = ::write(Descriptor_, Backlog_.data(), Backlog_.size());
@@ -34,11 +35,11 @@
       return;
     Backlog_.erase(0, static_cast<std::size_t>(Written));
   }
-  if (DroppedToTell_ == 0)
+  if (UnreportedDrops_ == 0)
     return;
   Backlog_ = fmt::format("{{\"event\":\"log-lines-dropped\",\"count\":{}}}\n",
-                         DroppedToTell_);
-  DroppedToTell_ = 0;
+                         UnreportedDrops_);
+  UnreportedDrops_ = 0;
   writeBacklog();
 }
 
--- a/Source/Common/LogSink.h
+++ b/Source/Common/LogSink.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// A sink for logs that never makes the caller wait.
+/// A log sink that never blocks the caller.
 
 #include <spdlog/sinks/base_sink.h>
 
@@ -10,16 +10,17 @@
 
 namespace samphireshunt {
 
-/// Writes to a file descriptor without blocking. What the reader does not take
-/// is kept up to a limit; beyond it lines are dropped, and their number is
-/// written once the reader takes lines again. A reader of standard output that
-/// stalls would otherwise stall every request that logs.
+/// Writes to a file descriptor without blocking. Lines that the reader has not
+/// read yet are buffered up to a limit; further lines are dropped, and their
+/// number is logged once the reader reads again. With blocking writes, a reader
+/// of standard output that stalls would stall every request that logs.
 class NonBlockingSink : public spdlog::sinks::base_sink<std::mutex> {
 public:
-  /// Lines that wait for a slow reader, at most.
+  /// Limit of the buffer for a slow reader.
   static constexpr std::size_t MaxBacklogBytes = 256 * 1024;
 
-  /// Makes \p Descriptor non-blocking.
+  /// Sets \p Descriptor to non-blocking mode. The descriptor stays owned by the
+  /// caller.
   explicit NonBlockingSink(int Descriptor);
   std::uint64_t dropped() const { return Dropped_; }
 
@@ -33,7 +34,7 @@
   int Descriptor_;
   std::string Backlog_;
   std::uint64_t Dropped_ = 0;
-  std::uint64_t DroppedToTell_ = 0;
+  std::uint64_t UnreportedDrops_ = 0;
 };
 
 } // namespace samphireshunt
--- a/Source/Common/ResultCode.h
+++ b/Source/Common/ResultCode.h
@@ -1,7 +1,7 @@
 #pragma once
 /// \file
 /// The numbered result codes and the four outcomes of a request. The table in
-/// docs/RESULT_CODES.md is written from here by `samphireshuntctl explain`.
+/// docs/RESULT_CODES.md is generated from these by `samphireshuntctl explain`.
 
 #include <boost/system/result.hpp>
 
@@ -12,21 +12,22 @@
 
 namespace samphireshunt {
 
-/// What a final answer says about the request's run.
+/// What a final answer reports about the execution of the request.
 enum class Outcome {
-  Answered, ///< The whole answer of the backend server follows.
+  Answered, ///< The complete answer of the backend server follows.
   NotRun,   ///< No backend server ran the request, and none will.
-  Unknown,  ///< It may have run; no answer can be given.
-  Partial,  ///< It ran, and only a part of the answer came back.
+  Unknown,  ///< It may have run; no answer is available.
+  Partial,  ///< It ran, and only a part of the answer was received.
 };
 
-/// The outcome's name as callers see it, e.g. "not-run".
+/// \returns the outcome's name as callers see it, e.g. "not-run".
 std::string_view outcomeName(Outcome Value);
 
-/// Numbered results. Numbers are never reused; hundreds group them by cause.
+/// Numbered results. Numbers are never reused; they are grouped by cause in
+/// hundreds.
 enum class ResultCode : int {
   Ok = 0,
-  // 1xx: the caller's request was not acceptable.
+  // 1xx: the request was not acceptable.
   MalformedRequest = 100,
   HeaderTooLarge = 101,
   BodyTooLarge = 102,
@@ -40,7 +41,7 @@
   BadDeadline = 110,
   TooManyConnections = 111,
   MethodNotAllowed = 112,
-  // 2xx: given up before any dispatch.
+  // 2xx: ended before any dispatch.
   DeadlineInQueue = 200,
   ShedForHigherTier = 201,
   QueueFull = 202,
@@ -81,7 +82,7 @@
   FormatTooNew = 504,
   BadSetting = 505,
   NotInForceEverywhere = 506,
-  // 9xx: faults of this program.
+  // 9xx: internal errors.
   Internal = 900,
 };
 
@@ -93,18 +94,18 @@
   std::string_view Advice_;
 };
 
-/// All rows, in rising order of their numbers.
+/// \returns all rows, in ascending order of their codes.
 std::span<const ResultCodeInfo> resultCodeTable();
-/// The row of \p Code.
+/// \returns the row of \p Code, or that of Internal for an unknown code.
 const ResultCodeInfo &describe(ResultCode Code);
 
-/// An expected failure: a code and what is particular to this case.
+/// An expected failure: its code and the details of this case.
 struct Failure {
   ResultCode Code_ = ResultCode::Internal;
   std::string Detail_;
 };
 
-/// A failure thrown, where code asks for the value of a failed result.
+/// Thrown when code requests the value of a failed result.
 class FailureError : public std::runtime_error {
 public:
   explicit FailureError(const Failure &Cause);
@@ -114,11 +115,11 @@
   ResultCode Code_;
 };
 
-/// Found by boost::system::result when value() is called on a failure.
+/// Called by boost::system::result when value() is called on a failure.
 [[noreturn]] void throw_exception_from_error(const Failure &Cause,
                                              const boost::source_location &);
 
-/// What a factory or an operation returns when failing is expected.
+/// The result of a factory or an operation that may fail as expected.
 template <class Value> using Result = boost::system::result<Value, Failure>;
 
 } // namespace samphireshunt
--- a/Source/Common/SlidingCount.h
+++ b/Source/Common/SlidingCount.h
@@ -1,7 +1,6 @@
 #pragma once
 /// \file
-/// How much of something happened within the last stretch of time, in constant
-/// memory.
+/// A sum over a sliding time window, in constant memory.
 
 #include <array>
 #include <chrono>
@@ -10,14 +9,15 @@
 
 namespace samphireshunt {
 
-/// Counts in \p Slots equal parts of a window; the oldest part drops out whole,
-/// so the sum covers between the window less one part and the window.
+/// Sums amounts in \p Slots intervals of equal length. The oldest interval is
+/// dropped as a whole, so that the sum covers between the window less one
+/// interval and the whole window.
 template <std::size_t Slots> class SlidingCount {
 public:
   using TimePoint = std::chrono::steady_clock::time_point;
 
   explicit SlidingCount(std::chrono::milliseconds Window)
-      : Part_(Window / Slots) {}
+      : SlotTime_(Window / Slots) {}
 
   void add(TimePoint Now, double Amount = 1) {
     advance(Now);
@@ -30,14 +30,14 @@
 
 private:
   void advance(TimePoint Now) {
-    auto Index = static_cast<std::size_t>(Now.time_since_epoch() / Part_);
+    auto Index = static_cast<std::size_t>(Now.time_since_epoch() / SlotTime_);
     if (Index > Newest_ + Slots)
       Newest_ = Index - Slots;
     while (Newest_ < Index)
       Counts_[++Newest_ % Slots] = 0;
   }
 
-  std::chrono::nanoseconds Part_;
+  std::chrono::nanoseconds SlotTime_;
   std::array<double, Slots> Counts_{};
   std::size_t Newest_ = 0;
 };
--- a/Source/Common/ThreadSanitizer.h
+++ b/Source/Common/ThreadSanitizer.h
@@ -1,7 +1,7 @@
 #pragma once
 /// \file
-/// Tells the thread sanitizer of an order that it can't see by itself. Without
-/// the sanitizer all of it is nothing.
+/// Annotates a happens-before relation that the thread sanitizer can't detect.
+/// Without the sanitizer, these functions do nothing.
 
 #ifdef __SANITIZE_THREAD__
 #include <sanitizer/tsan_interface.h>
@@ -11,12 +11,12 @@
 
 #ifdef __SANITIZE_THREAD__
 
-/// A place whose address names one order.
+/// An object whose address identifies one happens-before relation.
 struct TsanMark {
-  char Place_ = 0;
+  char Address_ = 0;
 };
-/// What this thread did so far happens before what follows a tsanAcquire() of
-/// the same mark.
+/// Everything this thread did before happens before whatever follows a
+/// tsanAcquire() of the same mark.
 inline void tsanRelease(TsanMark *Mark) { __tsan_release(Mark); }
 inline void tsanAcquire(TsanMark *Mark) { __tsan_acquire(Mark); }
 
--- a/Source/Common/TimePoint.h
+++ b/Source/Common/TimePoint.h
@@ -1,7 +1,7 @@
 #pragma once
 /// \file
-/// The clock of decisions: it stands still while the VM is suspended; what must
-/// not uses BootClock.h.
+/// The clock used for scheduling decisions. It stops while the VM is suspended;
+/// code for which time must continue then uses BootClock.h.
 
 #include <chrono>
 
