--- a/Source/Programs/CtlCommands.cpp
+++ b/Source/Programs/CtlCommands.cpp
@@ -21,8 +21,8 @@
 
 constexpr milliseconds CallTimeout{2000};
 constexpr milliseconds PollInterval{100};
-constexpr int PutTries = 5;
-/// First line of what `get` prints; `apply` takes the version from it.
+constexpr int MaxPutAttempts = 5;
+/// Start of the first line printed by `get`; `apply` reads the version from it.
 constexpr std::string_view VersionComment = "# version: ";
 
 Result<std::string> readFile(const std::string &Path) {
@@ -165,7 +165,7 @@
   if (!Decoded)
     co_return fail(ExitStatus::Invalid, Decoded.error());
   Json Document = Json::parse(Decoded->CanonicalJson_);
-  // JSON is YAML: what is printed can be edited and applied.
+  // JSON is valid YAML, so the output can be edited and applied.
   std::string Text = fmt::format("{}{}\n{}\n", VersionComment,
                                  Decoded->Version_.count(), Document.dump(2));
   print({{"version", Decoded->Version_.count()}, {"document", Document}}, Text);
@@ -206,8 +206,9 @@
                          Expected);
 }
 
-/// A daemon that does not understand a document's format keeps serving the
-/// last one that it understood: the change would not be in force there.
+/// Refuses a document if any daemon doesn't support its format. Such a daemon
+/// would keep serving the last document that it understood, and the change
+/// would not be active there.
 Awaitable<std::optional<ExitStatus>>
 CtlCommands::refuseTooNewFormat(std::string CanonicalJson) {
   int Format = Json::parse(CanonicalJson)["format"].get<int>();
@@ -223,7 +224,7 @@
 }
 
 /// Writes the next version by compare-and-swap against the version that the
-/// operator read.
+/// operator has read.
 Awaitable<ExitStatus> CtlCommands::put(ServiceName Service,
                                        std::string CanonicalJson,
                                        std::int64_t ExpectedVersion) {
@@ -262,8 +263,9 @@
   co_return co_await awaitEverywhere(Service, *Accepted);
 }
 
-/// A write may take effect although its answer never returns. The ids of the
-/// last changes tell whether this one did, even after another operator's.
+/// Writes \p Next, retrying on errors. A write may take effect although its
+/// answer is lost. The ids of the last changes show whether it did, even if
+/// another operator has made a change since.
 Awaitable<Result<DocumentVersion>>
 CtlCommands::putOnce(ServiceName Service, VersionedDocument Next,
                      StorePosition Expected) {
@@ -272,7 +274,7 @@
   Write.Value_ = Next.encode();
   Write.Expected_ = Expected;
   Failure Last;
-  for (int Try = 0; Try < PutTries; ++Try) {
+  for (int Attempt = 0; Attempt < MaxPutAttempts; ++Attempt) {
     auto Written = co_await Options_.Platform_.Put_(Write);
     if (Written)
       co_return Next.Version_;
@@ -302,13 +304,13 @@
   KeyValueWrite Write;
   Write.Key_ = historyKey(Service, Accepted.Version_);
   Write.Value_ = Accepted.encode();
-  for (int Try = 0; Try < PutTries; ++Try) {
+  for (int Attempt = 0; Attempt < MaxPutAttempts; ++Attempt) {
     auto Written = co_await Options_.Platform_.Put_(Write);
     if (Written || Written.error().Code_ == ResultCode::VersionConflict)
       co_return;
     co_await pauseFor(PollInterval);
   }
-  fmt::print(stderr, "warning: version {} is in force but not in the history\n",
+  fmt::print(stderr, "warning: version {} is active but not in the history\n",
              Accepted.Version_.count());
 }
 
@@ -335,7 +337,8 @@
   co_return ExitStatus::Ok;
 }
 
-/// Versions only go up: going back is a new version with an old text.
+/// Writes the text of an old version as a new version, since versions only
+/// increase.
 Awaitable<ExitStatus> CtlCommands::rollback(std::string Service,
                                             std::string Version) {
   std::uint64_t Number = 0;
@@ -395,7 +398,7 @@
     }
     if (!States.empty() && Behind.empty()) {
       print({{"inForce", Version.count()}, {"daemons", States.size()}},
-            fmt::format("in force on all {} daemons\n", States.size()));
+            fmt::format("active on all {} daemons\n", States.size()));
       co_return ExitStatus::Ok;
     }
     if (!Options_.Json_ && Behind.size() != Before)
--- a/Source/Programs/CtlCommands.h
+++ b/Source/Programs/CtlCommands.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// The commands of samphireshuntctl. Each returns an exit status.
+/// The commands of samphireshuntctl.
 
 #include "Process/Configuration/Platform.h"
 #include "Version/DocumentReader.h"
@@ -14,7 +14,7 @@
 
 namespace samphireshunt {
 
-/// Exit statuses; the table is in docs/OPERATIONS.md.
+/// Exit statuses of the commands; the table is in docs/OPERATIONS.md.
 enum class ExitStatus : int {
   Ok = 0,
   Invalid = 1,
@@ -31,9 +31,9 @@
   bool Json_ = false;
   bool Wait_ = false;
   std::chrono::milliseconds WaitTimeout_{30000};
-  /// The version that the operator read; negative: not given.
+  /// The version that the operator read; negative if not given.
   std::int64_t ExpectedVersion_ = -1;
-  /// Names this change; two changes never share one.
+  /// Identifies this change; no two changes have the same id.
   std::string ChangeId_;
 };
 
--- a/Source/Programs/CtlMain.cpp
+++ b/Source/Programs/CtlMain.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// samphireshuntctl: the operators' tool.
+/// samphireshuntctl, the command-line tool for operators.
 
 #include "Programs/CtlCommands.h"
 #include "Programs/OutcomeReport.h"
@@ -25,7 +25,7 @@
           "address; also SAMPHIRESHUNT_SERVER.");
 ABSL_FLAG(std::string, output, "text", "text or json.");
 ABSL_FLAG(bool, wait, false,
-          "apply and rollback: return when every live daemon has it in force.");
+          "apply and rollback: wait until it is active on every live daemon.");
 ABSL_FLAG(int, wait_timeout_ms, 30000, "Limit of --wait, in ms.");
 ABSL_FLAG(int, expected_version, -1,
           "apply and rollback: the version that you read; default: the one in "
@@ -40,16 +40,16 @@
     "  validate FILE            checks a document\n"
     "  diff FILE                shows what apply would change\n"
     "  apply FILE               makes a document the next version\n"
-    "  get SERVICE              prints the document in force\n"
+    "  get SERVICE              prints the active document\n"
     "  history SERVICE          lists past versions\n"
     "  rollback SERVICE VERSION makes a past version the next one\n"
     "  status                   shows every daemon\n"
     "  explain CODE|NAME|all    explains a result code\n"
     "  explain-request ID [FILE...]\n"
-    "                           tells a request's story from daemons' logs;\n"
-    "                           without files from standard input\n"
-    "  report [FILE...]         counts from daemons' logs what became of all\n"
-    "                           requests, by kind, reason and moment\n";
+    "                           shows a request's timeline from daemon logs;\n"
+    "                           reads standard input if there are no files\n"
+    "  report [FILE...]         counts the outcomes of all requests in daemon\n"
+    "                           logs, by kind, reason and time\n";
 
 ExitStatus usage() {
   fmt::print(stderr, "{}", Usage);
@@ -95,10 +95,11 @@
   return 0;
 }
 
-/// Beliefs of this long before a request are shown with it.
-constexpr double BeliefSeconds = 10;
+/// Log lines about state changes are shown from this many seconds before a
+/// request.
+constexpr double ContextSeconds = 10;
 
-/// Gives each of \p Files, or standard input where there are none.
+/// Passes each of \p Files to \p Read, or standard input if there are none.
 ExitStatus readLogs(std::span<const std::string> Files,
                     const std::function<void(std::istream &)> &Read) {
   if (Files.empty())
@@ -117,13 +118,14 @@
 ExitStatus explainRequest(const std::vector<std::string> &Words) {
   std::stringstream Logs;
   constexpr std::size_t FirstFile = 2;
-  ExitStatus Done = readLogs(std::span(Words).subspan(FirstFile),
-                             [&](std::istream &File) { Logs << File.rdbuf(); });
-  if (Done != ExitStatus::Ok)
-    return Done;
-  RequestStory Story = readStory(Logs, Words[1], BeliefSeconds);
+  ExitStatus Status =
+      readLogs(std::span(Words).subspan(FirstFile),
+               [&](std::istream &File) { Logs << File.rdbuf(); });
+  if (Status != ExitStatus::Ok)
+    return Status;
+  RequestStory Story = readStory(Logs, Words[1], ContextSeconds);
   if (!Story.Found_) {
-    fmt::print(stderr, "no line of request {}\n", Words[1]);
+    fmt::print(stderr, "the logs contain no line of request {}\n", Words[1]);
     return ExitStatus::NotFound;
   }
   fmt::print("{}", Story.text());
@@ -132,12 +134,12 @@
 
 ExitStatus report(const std::vector<std::string> &Words) {
   OutcomeReport Report;
-  ExitStatus Done = readLogs(std::span(Words).subspan(1),
-                             [&](std::istream &File) { Report.read(File); });
-  if (Done != ExitStatus::Ok)
-    return Done;
+  ExitStatus Status = readLogs(std::span(Words).subspan(1),
+                               [&](std::istream &File) { Report.read(File); });
+  if (Status != ExitStatus::Ok)
+    return Status;
   if (Report.total() == 0) {
-    fmt::print(stderr, "no line of a request's end\n");
+    fmt::print(stderr, "the logs contain no end of a request\n");
     return ExitStatus::NotFound;
   }
   bool Json = absl::GetFlag(FLAGS_output) == "json";
--- a/Source/Programs/Daemon.cpp
+++ b/Source/Programs/Daemon.cpp
@@ -18,19 +18,23 @@
 
 namespace {
 
-/// Taken off the revocation bound, for what lies between the last look at the
-/// lease and the engine: the dispatch, and the network.
+/// Subtracted from the revocation bound for the time between the last check of
+/// the freshness lease and the arrival at the engine: the dispatch and the
+/// network.
 constexpr milliseconds RevocationMargin{300};
-/// Taken off the bound for changes: within it readers know of each.
+/// Subtracted from the bound for changes: within this time readers learn of
+/// each change.
 constexpr milliseconds ApplyMargin{800};
-/// Least time for which a caller may leave its connection idle.
-constexpr milliseconds LeastIdleTimeout{30000};
-/// Callers count their idle time from another moment than this daemon.
+/// Minimum idle timeout of callers' connections.
+constexpr milliseconds MinIdleTimeout{30000};
+/// Added to the configured idle timeout, since callers start to measure it at a
+/// different moment than this daemon.
 constexpr milliseconds IdleSlack{1000};
-/// After an outage of the platform's service servers that lapsed meanwhile
-/// register again: the platform promises about two seconds.
+/// After an outage of the platform's service, servers whose registration
+/// expired in the meantime register again; the platform guarantees this within
+/// about two seconds.
 constexpr milliseconds RegisterAgainTime{2400};
-/// Changes that come together are worked off together.
+/// Delay by which changes that arrive together are processed together.
 constexpr milliseconds RefreshDelay{5};
 
 Incarnation newIncarnation() {
@@ -39,35 +43,35 @@
   return Incarnation(static_cast<std::uint64_t>(Millis));
 }
 
-const VmId &entryOf(const Decision &Taken) {
+const VmId &ingressOf(const Decision &Taken) {
   return std::visit(
       [](const auto &Value) -> const VmId & { return Value.Entry_; }, Taken);
 }
 
-/// How long a newer configuration may be known of and not be in force; 0: for
-/// ever.
+/// \returns how long a newer configuration may be known without being active;
+/// 0: without limit.
 milliseconds applyTime(milliseconds Bound) {
   return std::max(Bound - ApplyMargin, Bound / 2);
 }
 
 Scheduler::Options schedulingOptions(const Settings &Configured) {
-  auto Taken = [&](std::string_view Name) {
+  auto IsEnabled = [&](std::string_view Name) {
     return std::ranges::count(Configured.LeftOut_, Name) == 0;
   };
   Scheduler::Options Options;
   Options.TwoChoices_ = Configured.TwoChoices_;
-  Options.StrictTiers_ = Taken("tiers");
-  Options.FairCustomers_ = Taken("fairness");
-  Options.RefuseInfeasible_ = Taken("feasibility");
-  Options.Preempt_ = Taken("preemption");
-  Options.UsePrefixes_ = Taken("prefixes");
-  Options.UseSpeeds_ = Taken("speeds");
-  Options.AdaptLimits_ = Taken("limits");
-  Options.KeepPauses_ = Taken("pauses");
-  Options.CountLateApart_ = Taken("late-apart");
-  Options.PutLongBack_ = Taken("lengths");
-  Options.ScheduleReturns_ = Taken("returns");
-  Options.KeepQuick_ = Taken("quick");
+  Options.StrictTiers_ = IsEnabled("tiers");
+  Options.FairCustomers_ = IsEnabled("fairness");
+  Options.RefuseInfeasible_ = IsEnabled("feasibility");
+  Options.Preempt_ = IsEnabled("preemption");
+  Options.UsePrefixes_ = IsEnabled("prefixes");
+  Options.UseSpeeds_ = IsEnabled("speeds");
+  Options.AdaptLimits_ = IsEnabled("limits");
+  Options.KeepPauses_ = IsEnabled("pauses");
+  Options.CountLateApart_ = IsEnabled("late-apart");
+  Options.PutLongBack_ = IsEnabled("lengths");
+  Options.ScheduleReturns_ = IsEnabled("returns");
+  Options.KeepQuick_ = IsEnabled("quick");
   if (Configured.ByObjective_) {
     Options.GuaranteedShare_ = Configured.GuaranteedShare_;
     Options.RefuseLongWaits_ = true;
@@ -250,14 +254,15 @@
   KeeperService::Options Options;
   Options.Scheduling_ = schedulingOptions(Settings_);
   Options.Scheduling_.Seed_ = Origin_;
-  // Mean worth of eight seeds with none and with one ahead: 0.619 and 0.652 on
-  // the hardest day of Red Clay, 0.561 and 0.569 on that of Quilotoa Alto.
-  auto Taken = [&](std::string_view Name) {
+  // One request ahead per server raises the mean value of answers. Over eight
+  // seeds, with none and with one ahead, it is 0.619 and 0.652 on the hardest
+  // day of Red Clay, and 0.561 and 0.569 on that of Quilotoa Alto.
+  auto IsEnabled = [&](std::string_view Name) {
     return std::ranges::count(Settings_.LeftOut_, Name) == 0;
   };
-  if (Settings_.ByObjective_ && Taken("ahead"))
+  if (Settings_.ByObjective_ && IsEnabled("ahead"))
     Options.AheadPerServer_ = 1;
-  Options.KeepRoom_ = Taken("room");
+  Options.KeepRoom_ = IsEnabled("room");
   Options.Allotments_.Window_ = Settings_.AllotmentWindow_;
   Options.Allotments_.Overrun_ = Settings_.AllotmentOverrun_;
   Options.Allotments_.Credit_ = Settings_.AllotmentCredit_;
@@ -333,7 +338,8 @@
   Configuration_ = std::make_unique<ConfigurationSync>(
       Control_, Platform_, Documents_, Freshness_, ConfigurationSync::Options(),
       std::move(Hooks));
-  // Documents are taken as they were read until a newer one is seen.
+  // Documents count as current from when they were read until a newer version
+  // is seen.
   Freshness_.renew(BootClock::now());
 }
 
@@ -386,8 +392,8 @@
   return Made;
 }
 
-/// What the configuration in force allows callers, and at least what this
-/// program's settings do.
+/// \returns the limits for callers that the active configuration allows, and at
+/// least those of this program's settings.
 HttpLimits Daemon::callerLimits() const {
   HttpLimits Limits{HttpServerOptions().MaxHeaderBytes_,
                     HttpServerOptions().MaxBodyBytes_, Settings_.ReadTimeout_};
@@ -399,7 +405,7 @@
     Limits.MaxBodyBytes_ =
         std::max(Limits.MaxBodyBytes_, Configured.MaxBodyBytes_);
     if (Configured.IdleTimeout_.count() > 0)
-      Limits.IdleTimeout_ = std::max({Limits.IdleTimeout_, LeastIdleTimeout,
+      Limits.IdleTimeout_ = std::max({Limits.IdleTimeout_, MinIdleTimeout,
                                       Configured.IdleTimeout_ + IdleSlack});
   }
   return Limits;
@@ -463,10 +469,10 @@
 }
 
 HttpServerOptions Daemon::operatorOptions(const Endpoint &Address) {
-  constexpr std::size_t MostConnections = 256;
+  constexpr std::size_t MaxConnections = 256;
   HttpServerOptions Options;
   Options.Address_ = Address;
-  Options.MaxConnections_ = MostConnections;
+  Options.MaxConnections_ = MaxConnections;
   Options.Handler_ = [this](HttpExchange &Exchange) {
     return Operators_->handle(Exchange);
   };
@@ -500,21 +506,22 @@
       Keeper_->handBack(fromWire(Done->id));
   } else if (const auto *Request = Message.body.AsDocumentRequest())
     sendDocument(From, ServiceName(Request->service));
-  else if (const auto *Asked = Message.body.AsFollow(); Asked && PeerFollower_)
-    PeerFollower_->onFollow(From, *Asked);
+  else if (const auto *Follow = Message.body.AsFollow();
+           Follow && PeerFollower_)
+    PeerFollower_->onFollow(From, *Follow);
   else if (const auto *Text = Message.body.AsTextAsk(); Text && PeerFollower_)
     PeerFollower_->onTextAsk(From, *Text);
 }
 
 void Daemon::sendDocument(const VmId &To, const ServiceName &Service) {
   auto Snapshot = Documents_.snapshot();
-  const ServiceConfiguration *InForce = Snapshot->service(Service);
-  if (!InForce || !InForce->Source_)
+  const ServiceConfiguration *Active = Snapshot->service(Service);
+  if (!Active || !Active->Source_)
     return;
   wire::DocumentReplyT Reply;
   Reply.service = Service.str();
-  Reply.version = InForce->Version_.count();
-  Reply.envelope = InForce->Source_->encode();
+  Reply.version = Active->Version_.count();
+  Reply.envelope = Active->Source_->encode();
   Peers_->reply(To, encodeMessage(std::move(Reply)));
 }
 
@@ -535,18 +542,19 @@
            Reply && Configuration_)
     Configuration_->documentReceived(ServiceName(Reply->service),
                                      Reply->envelope);
-  else if (const auto *Told = Message.body.AsState(); Told && PeerFollower_)
-    PeerFollower_->onState(From, *Told);
-  else if (const auto *Part = Message.body.AsTextPart(); Part && PeerFollower_)
-    PeerFollower_->onTextPart(From, *Part);
+  else if (const auto *State = Message.body.AsState(); State && PeerFollower_)
+    PeerFollower_->onState(From, *State);
+  else if (const auto *Chunk = Message.body.AsTextPart();
+           Chunk && PeerFollower_)
+    PeerFollower_->onTextPart(From, *Chunk);
 }
 
 void Daemon::onDecided(const Decision &Taken) {
-  const VmId &Entry = entryOf(Taken);
-  if (Entry == Settings_.Vm_)
+  const VmId &Ingress = ingressOf(Taken);
+  if (Ingress == Settings_.Vm_)
     Grants_->onDecision(Taken, Settings_.Vm_);
   else
-    Peers_->reply(Entry, encodeDecision(Taken));
+    Peers_->reply(Ingress, encodeDecision(Taken));
 }
 
 void Daemon::membersChanged() {
@@ -565,8 +573,8 @@
 
 void Daemon::onDocumentChanged(const ServiceName &) {
   applyLogLevel();
-  // At once: a version counts as in force when it is adopted, and then the
-  // keepers' schedulers must go by it as well.
+  // Refresh the schedulers immediately: a version counts as active once it is
+  // adopted, and the schedulers must use it from then on.
   Keeper_->refresh();
   Membership_->spreadNews();
   refreshSoon();
@@ -574,7 +582,7 @@
 
 void Daemon::applyLogLevel() {
   auto Snapshot = Documents_.snapshot();
-  // The most talkative level that any service asks for.
+  // The most verbose level that any service is configured with.
   auto Level = spdlog::level::from_str(Settings_.LogLevel_);
   for (const auto &[Name, Service] : Snapshot->Services_)
     Level =
--- a/Source/Programs/Daemon.h
+++ b/Source/Programs/Daemon.h
@@ -1,7 +1,7 @@
 #pragma once
 /// \file
-/// The daemon: one process on one VM, with all roles. One control thread for
-/// membership, keeping and configuration; worker threads for requests.
+/// The daemon: one process per VM, with all roles. One control thread handles
+/// membership, scheduling and configuration; worker threads handle requests.
 
 #include "Process/Configuration/ConfigurationSync.h"
 #include "Process/Configuration/PeerFollower.h"
@@ -29,32 +29,36 @@
 
 namespace samphireshunt {
 
-/// What makes the daemon fit a platform; the default is the product's own.
+/// Adapts the daemon to a platform. The defaults are the product's own
+/// platform.
 struct PlatformAdapter {
   std::function<PlatformHooks(Endpoint, std::chrono::milliseconds)> Hooks_ =
       httpPlatform;
-  /// Set where the configuration, servers and daemons stand in the platform's
-  /// service; unset: documents stand there, as samphireshuntctl writes them.
+  /// Set if the platform's service itself contains the configuration, servers
+  /// and daemons. If unset, the service contains documents as samphireshuntctl
+  /// writes them.
   std::optional<StoreLayout> Layout_;
   ForwardingDialect Dialect_ = ownDialect();
 };
 
 class Daemon {
 public:
-  /// Binds all addresses and wires the parts. \returns BadSetting.
+  /// Binds all addresses and creates the components.
+  /// \returns BadSetting when an address can't be bound.
   static Result<std::unique_ptr<Daemon>> create(Settings Configured,
                                                 PlatformAdapter Adapter = {});
   ~Daemon();
 
-  /// Serves until a graceful stop has ended. \returns the exit status.
+  /// Serves until a graceful stop is complete. \returns the exit status.
   int run();
-  /// The addresses bound, as one JSON line.
+  /// \returns the bound addresses as one line of JSON.
   std::string describeAddresses() const;
 
 private:
-  /// One thread, its requests and its connections to backend servers.
+  /// One worker thread, the service for its requests, and its connections to
+  /// backend servers.
   struct Worker {
-    /// The control thread's, where that serves requests.
+    /// The control thread's context, if that thread serves requests. Not owned.
     boost::asio::io_context *Context_ = nullptr;
     BackendConnections Connections_{BackendConnections::Options()};
     std::unique_ptr<CallerService> Callers_;
@@ -66,7 +70,7 @@
   using Udp = boost::asio::ip::udp;
 
   PeerNetwork::Hooks peerHooks();
-  /// Binds the address for other daemons, for datagrams in \p Datagrams.
+  /// Binds the address for other daemons, with the UDP socket in \p Datagrams.
   Result<void> wirePeers(Udp::socket &Datagrams);
   void wireMembership(Udp::socket Datagrams);
   void wireKeeper();
@@ -97,7 +101,7 @@
   void onAnswered(const VmId &From, wire::EnvelopeT Message);
   void onDecided(const Decision &Taken);
   void onMemberChanged(const Member &Changed);
-  /// What was worked out from the members counts no more.
+  /// Invalidates the values that were computed from the list of members.
   void membersChanged();
   void onDocumentChanged(const ServiceName &Service);
   void onVmsListed(const std::vector<ListedVm> &Listed);
@@ -111,7 +115,7 @@
   void awaitDrained();
   void stopAll();
   std::string status() const;
-  /// How long ago the configuration was known to be the newest.
+  /// The time since the configuration was last known to be the newest.
   std::chrono::milliseconds configurationAge() const;
   std::string vms() const;
   std::string metrics();
@@ -125,16 +129,18 @@
   std::atomic<std::uint64_t> NextSequence_ = 1;
   std::atomic<bool> Ready_ = false;
   TimePoint Started_;
-  /// It has what the others had when it started.
+  /// True once this daemon has the configuration that the other daemons had
+  /// when it started.
   bool Joined_ = false;
   std::atomic<bool> Draining_ = false;
   TimePoint DrainStarted_;
   bool LookingAround_ = false;
   TimePoint LookStarted_;
 
-  /// Requests that wait for a grant are known to Grants_ and Control_, by
-  /// timers of their workers' contexts: a context that ended first would leave
-  /// these with freed memory, and a stop would end with a signal.
+  /// Contexts of the worker threads, declared before Control_ and Grants_. Both
+  /// refer to waiting requests by timers of these contexts. If a context were
+  /// destroyed first, the references would dangle and a stop would end in a
+  /// crash.
   std::vector<std::unique_ptr<boost::asio::io_context>> WorkerContexts_;
   boost::asio::io_context Control_{1};
   DocumentStore Documents_;
@@ -146,17 +152,18 @@
   MemberLog MemberLog_;
   std::unique_ptr<PeerNetwork> Peers_;
   std::unique_ptr<MembershipService> Membership_;
-  /// A cache, which reports fill too.
+  /// A cache that const reports fill too.
   mutable KeeperChoice KeeperChoice_;
   std::unique_ptr<KeeperService> Keeper_;
   std::unique_ptr<GrantClient> Grants_;
   std::unique_ptr<EngineMonitor> Engines_;
-  /// Documents of the product's own, or the platform's configuration.
+  /// Synchronizes the product's own documents; unset if the configuration comes
+  /// from the platform (see View_).
   std::unique_ptr<ConfigurationSync> Configuration_;
   std::unique_ptr<StoreView> View_;
   std::unique_ptr<StoreFollower> Follower_;
   std::unique_ptr<PeerFollower> PeerFollower_;
-  /// Unset when the members have changed since.
+  /// Unset after a change of the members.
   std::optional<ReaderChoice> ReaderChoice_;
   std::unique_ptr<TraceExporter> Traces_;
   std::vector<std::unique_ptr<Worker>> Workers_;
--- a/Source/Programs/DaemonLife.cpp
+++ b/Source/Programs/DaemonLife.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// The daemon's life: start, readiness, signals, reload and graceful stop.
+/// The lifecycle of the daemon: start, readiness, signals, reload and graceful
+/// stop.
 
 #include "Common/Log.h"
 #include "Programs/Daemon.h"
@@ -18,27 +19,30 @@
 
 namespace {
 
-/// How long a daemon that starts waits for a word of another one, and then for
-/// the configuration that this one has.
+/// How long a starting daemon waits for a message from another daemon, and
+/// after that for the configuration that this one has.
 constexpr milliseconds JoinTime{1500};
 constexpr milliseconds FetchTime{1500};
-/// How often a stop or a start is looked at.
+/// Interval at which the progress of a start or a stop is checked.
 constexpr milliseconds DrainCheckInterval{50};
-/// The same while the daemon neither starts nor stops.
-constexpr milliseconds CalmCheckInterval{250};
-/// How often the settings' file is looked at: it may change without a signal.
+/// The same while the daemon is neither starting nor stopping.
+constexpr milliseconds SteadyCheckInterval{250};
+/// Interval at which the flag file is checked, since it may change without a
+/// signal.
 constexpr milliseconds FlagFileInterval{1000};
-/// Turns of a thread after which a connection that was there at the first has
-/// been accepted, its request read, and counts as active.
-constexpr std::size_t LookTurns = 5;
+/// Event-loop iterations of a thread after which a connection that was pending
+/// at the first one has been accepted, its request read, and counts as active.
+constexpr std::size_t FlushIterations = 5;
 
 } // namespace
 
 bool Daemon::isReady() const { return Ready_; }
 
-/// With a configuration that may be out of date, keys can't be honoured: other
-/// daemons should get the callers, and already when that is about to happen.
-/// While no daemon is in touch, the balancer sends to all of them.
+/// True when the balancer should send callers to this daemon. With a
+/// configuration that may be out of date, keys can't be verified reliably, so
+/// callers should go to other daemons, already shortly before that happens.
+/// While no daemon is in contact with the platform, the balancer sends to all
+/// of them.
 bool Daemon::isTakingCallers() const {
   bool InTouch = Configuration_ || PeerFollower_->inTouch();
   BootTime Now = BootClock::now();
@@ -46,9 +50,10 @@
          !Freshness_.overdue(Now);
 }
 
-/// The service may have come back from a copy that lacks what was accepted. One
-/// that starts then would serve by an older configuration than the others: it
-/// hears one of them first, and gets what that one names.
+/// True when the daemon has a configuration to start with. The service may have
+/// been restored from a copy that lacks accepted changes. A daemon that starts
+/// then would serve with an older configuration than the others, so it first
+/// waits for a message from one of them and for the version named in it.
 bool Daemon::configurationReady() {
   if (Configuration_)
     return Configuration_->ready();
@@ -107,31 +112,32 @@
   if (Settings_.TraceCollector_.port() != 0)
     Traces_->start();
   awaitDrained();
-  for (auto &Present : Workers_)
-    if (Present->Context_ != &Control_)
-      Present->Thread_ = std::thread([&Context = *Present->Context_] {
+  for (auto &Current : Workers_)
+    if (Current->Context_ != &Control_)
+      Current->Thread_ = std::thread([&Context = *Current->Context_] {
         auto Guard = asio::make_work_guard(Context);
         Context.run();
       });
   Control_.run();
-  for (auto &Present : Workers_) {
-    if (Present->Context_ == &Control_)
+  for (auto &Current : Workers_) {
+    if (Current->Context_ == &Control_)
       continue;
-    Present->Context_->stop();
-    Present->Thread_.join();
+    Current->Context_->stop();
+    Current->Thread_.join();
   }
   logEvent(LogCategory::Process, spdlog::level::info, "stopped");
   spdlog::default_logger()->flush();
   return 0;
 }
 
-/// A planned stop. The balancer goes on sending for some seconds, so new
-/// connections are still taken; others learn at once that this daemon leaves
-/// and take its cells.
+/// Starts a graceful stop. The balancer keeps sending for some seconds, so new
+/// connections are still accepted. Other daemons are notified immediately that
+/// this one is leaving, and take over its cells.
 void Daemon::beginDrain() {
   logEvent(LogCategory::Process, spdlog::level::info, "draining");
-  // The other threads read the moment once they see that the stop began. Seen
-  // first, it would be the clock's beginning, and they refuse what has time.
+  // DrainStarted_ is set first, because other threads read it as soon as they
+  // see Draining_. Otherwise they would read the clock's epoch, and refuse
+  // requests that have enough time.
   DrainStarted_ = steady_clock::now();
   Draining_ = true;
   Members_->leave();
@@ -141,7 +147,8 @@
   refreshSoon();
 }
 
-/// A request that is refused finds another daemon; one that is cut is lost.
+/// True when a request has enough time before the stop. A request that is
+/// refused can go to another daemon; one that is cut is lost.
 bool Daemon::hasTimeFor(const ForwardingRule &Rule) const {
   if (!Draining_)
     return true;
@@ -152,18 +159,20 @@
          Drained + Rule.Timeout_ < Settings_.DrainTimeout_;
 }
 
-/// A process or a thread that was not let run for a while finds at once that
-/// the time of its stop has come and that connections and requests lie unread.
-/// Decided in that turn, the stop would cut them. So all threads go through
-/// what there is first, and the stop is decided when the last has done so.
+/// Starts to process all pending events before the stop is decided. A process
+/// or thread that was not scheduled for a while may find in one event-loop
+/// iteration that the stop is due and that connections and requests are unread;
+/// a stop decided in that iteration would cut them. So all threads first
+/// process their pending events, and the decision follows when the last thread
+/// has finished.
 void Daemon::lookAround() {
   if (std::exchange(LookingAround_, true))
     return;
   LookStarted_ = steady_clock::now();
-  std::vector<asio::io_context *> Turns(LookTurns, &Control_);
+  std::vector<asio::io_context *> Contexts(FlushIterations, &Control_);
   for (const auto &Context : WorkerContexts_)
-    Turns.insert(Turns.begin(), LookTurns, Context.get());
-  lookThrough(std::move(Turns));
+    Contexts.insert(Contexts.begin(), FlushIterations, Context.get());
+  lookThrough(std::move(Contexts));
 }
 
 void Daemon::lookThrough(std::vector<asio::io_context *> Left) {
@@ -178,16 +187,18 @@
 
 void Daemon::onLookedAround() {
   LookingAround_ = false;
-  // What came meanwhile may lie unread again.
+  // Connections accepted in the meantime may have unread requests again.
   if (CallerServer_->lastAccepted() >= LookStarted_)
     return;
   if (mayStop(steady_clock::now() - DrainStarted_))
     stopAll();
 }
 
-/// A balancer with few other daemons goes on sending to this one, so it takes
-/// connections until none comes any more. Where that never happens it goes on
-/// only while requests run: what comes late it refuses anyway.
+/// True when no request is active and no new connections are expected. A
+/// balancer with few other daemons keeps sending to this one, so connections
+/// are accepted until none arrives any more. If they never end, the daemon
+/// continues only while requests are active: requests that arrive that late are
+/// refused anyway.
 bool Daemon::mayStop(steady_clock::duration Drained) {
   auto SinceAccepted = steady_clock::now() - CallerServer_->lastAccepted();
   if (Settings_.DrainQuiet_.count() == 0)
@@ -197,7 +208,8 @@
   return CallerServer_->activeExchanges() == 0 && Quiet;
 }
 
-/// Checks regularly whether the daemon became ready, or its stop is complete.
+/// Checks periodically whether the daemon has become ready or its stop is
+/// complete.
 void Daemon::awaitDrained() {
   bool WasReady = Ready_;
   Ready_ = configurationReady();
@@ -212,16 +224,17 @@
   }
   if (steady_clock::now() - FlagFileLooked_ >= FlagFileInterval)
     reloadSettings();
-  bool Calm = Ready_ && !Draining_;
-  DrainTimer_.expires_after(Calm ? CalmCheckInterval : DrainCheckInterval);
+  bool Steady = Ready_ && !Draining_;
+  DrainTimer_.expires_after(Steady ? SteadyCheckInterval : DrainCheckInterval);
   DrainTimer_.async_wait([this](const boost::system::error_code &Error) {
     if (!Error)
       awaitDrained();
   });
 }
 
-/// Takes over what may change while the daemon runs: the log level, the peers
-/// to join and the times of a stop. Addresses stay until the next start.
+/// Applies the settings that may change while the daemon is running: the log
+/// level, the peers to join and the times of a stop. Addresses don't change
+/// until the next start.
 void Daemon::reloadSettings() {
   FlagFileLooked_ = steady_clock::now();
   if (Settings_.FlagFile_.empty())
--- a/Source/Programs/DaemonMain.cpp
+++ b/Source/Programs/DaemonMain.cpp
@@ -17,7 +17,7 @@
 constexpr int ExitBadSetting = 2;
 constexpr int ExitFault = 1;
 
-int reportFailure(const Failure &Cause) {
+int printFailure(const Failure &Cause) {
   fmt::print(stderr, "samphireshuntd: {} {}: {}\n",
              static_cast<int>(Cause.Code_), describe(Cause.Code_).Name_,
              Cause.Detail_);
@@ -44,23 +44,23 @@
 } // namespace
 
 int daemonMain(int ArgumentCount, char **Arguments, PlatformAdapter Adapter) {
-  // A reload may be asked for before the daemon listens for it, and a reader of
-  // the logs may go: neither may end the process.
+  // A SIGHUP may arrive before the daemon handles it, and a reader of the logs
+  // may close its end of the pipe. Neither may end the process.
   std::signal(SIGHUP, SIG_IGN);
   std::signal(SIGPIPE, SIG_IGN);
   std::unique_ptr<Daemon> Running;
   try {
     auto Started = start(ArgumentCount, Arguments, std::move(Adapter));
     if (!Started)
-      return reportFailure(Started.error());
+      return printFailure(Started.error());
     Running = std::move(*Started);
   } catch (const std::exception &Error) {
     fmt::print(stderr, "samphireshuntd: {}\n", Error.what());
     return ExitFault;
   }
-  // What leaves a handler is caught nowhere: on its way here it would unwind
-  // the stack that threw it and destroy a daemon whose threads run. The line
-  // about the end would name neither the exception nor its place.
+  // Exceptions are not caught here. An exception from a handler would unwind
+  // the stack that threw it and destroy a daemon whose threads are running, and
+  // the crash report would contain neither the exception nor its origin.
   return Running->run();
 }
 
--- a/Source/Programs/DaemonMain.h
+++ b/Source/Programs/DaemonMain.h
@@ -1,13 +1,14 @@
 #pragma once
 /// \file
-/// The daemon's main function, for each platform that it is built for.
+/// The main function of the daemon, shared by the builds for all platforms.
 
 #include "Programs/Daemon.h"
 
 namespace samphireshunt {
 
-/// Reads the settings, serves until a graceful stop, and returns the exit
-/// status: 2 for bad settings, 1 for a fault at the start.
+/// Reads the settings and serves until a graceful stop is complete.
+/// \returns the exit status: 2 for invalid settings, 1 for an error during the
+/// start.
 int daemonMain(int ArgumentCount, char **Arguments, PlatformAdapter Adapter);
 
 } // namespace samphireshunt
--- a/Source/Programs/DaemonReports.cpp
+++ b/Source/Programs/DaemonReports.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What the daemon tells operators of itself: addresses, status, metrics.
+/// Reports of the daemon for operators: addresses, status, metrics.
 
 #include "Programs/Daemon.h"
 
@@ -78,15 +78,15 @@
                                {"operators", Other.OperatorAddress_}});
   Root["cells"] = Json::array();
   for (const CellId &Cell : Keeper_->cells()) {
-    const Scheduler *Kept = Keeper_->scheduler(Cell);
+    const Scheduler *Scheduling = Keeper_->scheduler(Cell);
     Json Entry;
     Entry["cell"] = Cell.str();
     Entry["keeper"] = keeperFor(Cell, {}) == Settings_.Vm_;
-    Entry["warming"] = Kept->warming(std::chrono::steady_clock::now());
-    Entry["waiting"] = Kept->waiting();
-    Entry["running"] = Kept->running();
+    Entry["warming"] = Scheduling->warming(std::chrono::steady_clock::now());
+    Entry["waiting"] = Scheduling->waiting();
+    Entry["running"] = Scheduling->running();
     Entry["servers"] = Json::object();
-    for (const auto &[Name, Server] : Kept->servers())
+    for (const auto &[Name, Server] : Scheduling->servers())
       Entry["servers"][Name.str()] = {
           {"inFlight", Server.inFlight()},
           {"usable", Server.usable()},
--- a/Source/Programs/LogLines.cpp
+++ b/Source/Programs/LogLines.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-double part(std::string_view Text, std::size_t At, std::size_t Length) {
+double numberAt(std::string_view Text, std::size_t Offset, std::size_t Length) {
   double Value = 0;
-  if (Text.size() >= At + Length)
-    std::from_chars(Text.data() + At, Text.data() + At + Length, Value);
+  if (Text.size() >= Offset + Length)
+    std::from_chars(Text.data() + Offset, Text.data() + Offset + Length, Value);
   return Value;
 }
 
@@ -31,9 +31,9 @@
   constexpr std::size_t Seconds = 17;
   constexpr std::size_t SecondsLength = 6;
   constexpr double PerMinute = 60;
-  return (part(Time, Hours, 2) * PerMinute + part(Time, Minutes, 2)) *
+  return (numberAt(Time, Hours, 2) * PerMinute + numberAt(Time, Minutes, 2)) *
              PerMinute +
-         part(Time, Seconds, SecondsLength);
+         numberAt(Time, Seconds, SecondsLength);
 }
 
 } // namespace samphireshunt
--- a/Source/Programs/LogLines.h
+++ b/Source/Programs/LogLines.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// Reads lines of daemons' logs.
+/// Parses lines of daemons' logs.
 
 #include <nlohmann/json.hpp>
 
@@ -9,11 +9,12 @@
 
 namespace samphireshunt {
 
-/// The JSON object of one line, also with something before it. \returns nothing
-/// for other lines, and for those that are cut short.
+/// Parses the JSON object of one log line, which may be preceded by other text.
+/// \returns nothing for other lines and for truncated ones.
 std::optional<nlohmann::ordered_json> parseLogLine(std::string_view Text);
 
-/// "2026-06-17T08:29:04.839+00:00" as seconds of its day.
+/// \returns a time like "2026-06-17T08:29:04.839+00:00" as seconds since the
+/// start of its day.
 double secondsOfDay(std::string_view Time);
 
 } // namespace samphireshunt
--- a/Source/Programs/Metrics.cpp
+++ b/Source/Programs/Metrics.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Upper bounds in seconds.
+/// Upper bounds of the histogram buckets in seconds.
 const prometheus::Histogram::BucketBoundaries SecondsBuckets = {
     0.001, 0.003, 0.01, 0.03, 0.1, 0.33, 1, 3, 10, 30, 100};
 
@@ -44,22 +44,23 @@
                          .Help("Time of a call of the platform's service.")
                          .Register(Registry_)) {}
 
-void Metrics::report(const RequestReport &Seen) {
-  std::string Code = std::to_string(static_cast<int>(Seen.Code_));
+void Metrics::report(const RequestReport &Request) {
+  std::string Code = std::to_string(static_cast<int>(Request.Code_));
   Requests_
-      .Add({{"service", Seen.Service_},
-            {"tier", Seen.Tier_},
-            {"outcome", std::string(outcomeName(Seen.Outcome_))},
+      .Add({{"service", Request.Service_},
+            {"tier", Request.Tier_},
+            {"outcome", std::string(outcomeName(Request.Outcome_))},
             {"code", Code}})
       .Increment();
-  prometheus::Labels Labels = {{"service", Seen.Service_},
-                               {"tier", Seen.Tier_}};
-  Durations_.Add(Labels, SecondsBuckets).Observe(seconds(Seen.Total_));
-  Waits_.Add(Labels, SecondsBuckets).Observe(seconds(Seen.Waited_));
-  if (!Seen.FirstEvent_)
+  prometheus::Labels Labels = {{"service", Request.Service_},
+                               {"tier", Request.Tier_}};
+  Durations_.Add(Labels, SecondsBuckets).Observe(seconds(Request.Total_));
+  Waits_.Add(Labels, SecondsBuckets).Observe(seconds(Request.Waited_));
+  if (!Request.FirstEvent_)
     return;
-  FirstEvents_.Add(Labels, SecondsBuckets).Observe(seconds(*Seen.FirstEvent_));
-  Pauses_.Add(Labels, SecondsBuckets).Observe(seconds(Seen.LongestPause_));
+  FirstEvents_.Add(Labels, SecondsBuckets)
+      .Observe(seconds(*Request.FirstEvent_));
+  Pauses_.Add(Labels, SecondsBuckets).Observe(seconds(Request.LongestPause_));
 }
 
 void Metrics::reportPlatformCall(const std::string &Call, bool Succeeded,
--- a/Source/Programs/Metrics.h
+++ b/Source/Programs/Metrics.h
@@ -1,8 +1,8 @@
 #pragma once
 /// \file
-/// Prometheus metrics. Labels come from the document (services, tiers), from
-/// the table of codes and from the calls of the platform's service only, so
-/// their number is bounded.
+/// Prometheus metrics. Labels have values only from the document (services,
+/// tiers), the table of result codes and the calls of the platform's service,
+/// so that their number is bounded.
 
 #include "Request/RequestContext.h"
 
@@ -19,14 +19,14 @@
 public:
   Metrics();
 
-  /// Counts one request; from any thread.
-  void report(const RequestReport &Seen);
-  /// Counts one call of the platform's service, and how long it took.
+  /// Records one request. Thread-safe.
+  void report(const RequestReport &Request);
+  /// Records one call of the platform's service and its duration.
   void reportPlatformCall(const std::string &Call, bool Succeeded,
                           std::chrono::microseconds Time);
-  /// Sets a gauge that is read just before each scrape.
+  /// Sets a gauge whose value is read just before each scrape.
   void setGauge(const std::string &Name, double Value);
-  /// All metrics in the Prometheus text format.
+  /// \returns all metrics in the Prometheus text format.
   std::string text() const;
 
 private:
--- a/Source/Programs/OperatorService.cpp
+++ b/Source/Programs/OperatorService.cpp
@@ -15,14 +15,14 @@
 
 constexpr std::string_view KeyPath = "/v1/kv/";
 
-HttpResponse failed(const Failure &Cause) {
+HttpResponse errorResponse(const Failure &Cause) {
   Verdict Ended;
   Ended.Code_ = Cause.Code_;
   Ended.Detail_ = Cause.Detail_;
   return jsonResponse(httpStatus(Cause.Code_), errorBody(Ended));
 }
 
-HttpResponse answerOfEra(const Json &Body, StoreEra Era) {
+HttpResponse responseWithEra(const Json &Body, StoreEra Era) {
   HttpResponse Response = jsonResponse(200, Body.dump());
   Response.Fields_[StoreEraField] = std::to_string(Era.count());
   return Response;
@@ -34,7 +34,8 @@
           {"revision", Entry.Position_.Revision_.count()}};
 }
 
-/// Operators reach documents and their history, but never the claims.
+/// True for keys of documents and their history, the only ones accessible to
+/// operators. Claims are not.
 bool isDocumentKey(std::string_view Key) {
   return Key.starts_with("config/") || Key.starts_with("history/");
 }
@@ -49,8 +50,8 @@
 
 } // namespace
 
-OperatorService::OperatorService(PlatformHooks Platform, Hooks Reactions)
-    : Platform_(std::move(Platform)), Hooks_(std::move(Reactions)) {}
+OperatorService::OperatorService(PlatformHooks Platform, Hooks Callbacks)
+    : Platform_(std::move(Platform)), Hooks_(std::move(Callbacks)) {}
 
 Awaitable<void> OperatorService::handle(HttpExchange &Exchange) {
   HttpResponse Response = co_await answer(Exchange.request());
@@ -80,35 +81,35 @@
     co_return co_await list(Request);
   if (Path.starts_with(KeyPath))
     co_return co_await keyValue(Request);
-  co_return failed({ResultCode::NotFound, std::string(Path)});
+  co_return errorResponse({ResultCode::NotFound, std::string(Path)});
 }
 
 Awaitable<HttpResponse> OperatorService::list(const HttpRequest &Request) {
   std::string Prefix = Request.queryParameter("prefix");
   if (!isDocumentKey(Prefix))
-    co_return failed({ResultCode::NotFound, Prefix});
+    co_return errorResponse({ResultCode::NotFound, Prefix});
   auto Listed = co_await Platform_.List_(Prefix);
   if (!Listed)
-    co_return failed(Listed.error());
+    co_return errorResponse(Listed.error());
   Json Body;
   Body["entries"] = Json::array();
   for (const KeyValue &Entry : Listed->Entries_)
     Body["entries"].push_back(entryToJson(Entry));
   Body["revision"] = Listed->Position_.Revision_.count();
-  co_return answerOfEra(Body, Listed->Position_.Era_);
+  co_return responseWithEra(Body, Listed->Position_.Era_);
 }
 
 Awaitable<HttpResponse> OperatorService::keyValue(const HttpRequest &Request) {
   std::string Key(Request.path().substr(KeyPath.size()));
   if (!isDocumentKey(Key))
-    co_return failed({ResultCode::NotFound, Key});
+    co_return errorResponse({ResultCode::NotFound, Key});
   if (Request.Method_ == "GET") {
     auto Entry = co_await Platform_.Get_(Key);
     if (!Entry)
-      co_return failed(Entry.error());
+      co_return errorResponse(Entry.error());
     if (!*Entry)
-      co_return failed({ResultCode::NotFound, Key});
-    co_return answerOfEra(entryToJson(**Entry), (*Entry)->Position_.Era_);
+      co_return errorResponse({ResultCode::NotFound, Key});
+    co_return responseWithEra(entryToJson(**Entry), (*Entry)->Position_.Era_);
   }
   KeyValueWrite Write;
   Write.Key_ = Key;
@@ -117,10 +118,10 @@
                      Revision(numberParameter(Request, "expect"))};
   auto Written = co_await Platform_.Put_(Write);
   if (!Written)
-    co_return failed(Written.error());
+    co_return errorResponse(Written.error());
   Json Body;
   Body["revision"] = Written->Revision_.count();
-  co_return answerOfEra(Body, Written->Era_);
+  co_return responseWithEra(Body, Written->Era_);
 }
 
 } // namespace samphireshunt
--- a/Source/Programs/OperatorService.h
+++ b/Source/Programs/OperatorService.h
@@ -1,7 +1,7 @@
 #pragma once
 /// \file
-/// The operators' HTTP address: health, metrics, status, and the documents of
-/// the platform's key-value service for the command-line tool.
+/// The HTTP service for operators: health, metrics, status, and the documents
+/// in the platform's key-value service for the command-line tool.
 
 #include "Connection/Http.h"
 #include "Process/Configuration/Platform.h"
@@ -19,10 +19,10 @@
     std::function<bool()> IsReady_;
     std::function<std::string()> Status_;  ///< JSON.
     std::function<std::string()> Metrics_; ///< Prometheus text.
-    std::function<std::string()> Vms_;     ///< JSON, as the platform's list.
+    std::function<std::string()> Vms_;     ///< JSON, in the platform's format.
   };
 
-  OperatorService(PlatformHooks Platform, Hooks Reactions);
+  OperatorService(PlatformHooks Platform, Hooks Callbacks);
   Awaitable<void> handle(HttpExchange &Exchange);
 
 private:
--- a/Source/Programs/OutcomeReport.cpp
+++ b/Source/Programs/OutcomeReport.cpp
@@ -16,14 +16,14 @@
 
 using Json = nlohmann::ordered_json;
 
-/// More kinds than this are counted together: a flood of names must not fill
-/// the memory.
-constexpr std::size_t MostKinds = 200;
-constexpr std::size_t MostMoments = 600;
+/// Further kinds are counted together, so that a flood of different names can't
+/// exhaust the memory.
+constexpr std::size_t MaxKinds = 200;
+constexpr std::size_t MaxMoments = 600;
 const std::string OtherKinds = "(others)";
 constexpr int BarWidth = 50;
 
-/// In the order of a bar, with the letter there.
+/// The fates in the order in which a bar shows them, with their letters.
 constexpr std::array<std::pair<RequestFate, char>, 8> Fates = {{
     {RequestFate::InTime, '#'},
     {RequestFate::LateFirst, 'l'},
@@ -86,12 +86,12 @@
                      describe(static_cast<ResultCode>(Code)).Name_);
 }
 
-double share(std::uint64_t Part, std::uint64_t Whole) {
+double fraction(std::uint64_t Part, std::uint64_t Whole) {
   return Whole == 0 ? 0
                     : static_cast<double>(Part) / static_cast<double>(Whole);
 }
 
-/// As long as the part of \p Largest that \p Counts has.
+/// \returns a bar whose length is the sum of \p Counts relative to \p Largest.
 std::string bar(const std::map<RequestFate, std::uint64_t> &Counts,
                 std::uint64_t Largest) {
   std::string Bar;
@@ -100,7 +100,7 @@
     auto Found = Counts.find(Fate);
     if (Found == Counts.end())
       continue;
-    double After = Before + share(Found->second, Largest) * BarWidth;
+    double After = Before + fraction(Found->second, Largest) * BarWidth;
     Bar.append(
         static_cast<std::size_t>(std::lround(After) - std::lround(Before)),
         Letter);
@@ -152,7 +152,7 @@
     readLine(Text);
 }
 
-/// Most lines tell other things; they are not parsed.
+/// Most lines report other events; they are not parsed.
 void OutcomeReport::readLine(std::string_view Text) {
   constexpr std::string_view LineStart = "{\"time\":";
   constexpr std::string_view EndEvent = "\"event\":\"ended\"";
@@ -180,7 +180,7 @@
   int Code = static_cast<int>(numberField(Line, "code"));
   RequestFate Fate = fateOf(Line, Code);
   std::string Kind = kindOf(Line);
-  if (ByKind_.size() >= MostKinds && !ByKind_.contains(Kind))
+  if (ByKind_.size() >= MaxKinds && !ByKind_.contains(Kind))
     Kind = OtherKinds;
   ByKind_[Kind][{Fate, Code}] += 1 + LeftOut;
   countMoment(secondsOfDay(Time), Fate, 1 + LeftOut);
@@ -192,7 +192,7 @@
                                 std::uint64_t Requests) {
   auto Moment = [this](std::uint64_t At) { return At - At % MomentSeconds_; };
   ByMoment_[Moment(static_cast<std::uint64_t>(Seconds))][Fate] += Requests;
-  if (ByMoment_.size() <= MostMoments)
+  if (ByMoment_.size() <= MaxMoments)
     return;
   MomentSeconds_ *= 2;
   std::map<std::uint64_t, FateCounts> Coarser;
@@ -222,8 +222,8 @@
     Text += fmt::format("\n{}: {}\n", Kind, OfKind);
     for (const auto &[Known, Count] : Causes)
       Text += fmt::format("  {:>8} {:5.1f} %  {} {}\n", Count,
-                          Percent * share(Count, OfKind), fateName(Known.Fate_),
-                          codeText(Known.Code_));
+                          Percent * fraction(Count, OfKind),
+                          fateName(Known.Fate_), codeText(Known.Code_));
   }
   Text += "\nby moment:";
   for (const auto &[Fate, Letter] : Fates)
--- a/Source/Programs/OutcomeReport.h
+++ b/Source/Programs/OutcomeReport.h
@@ -1,13 +1,14 @@
 #pragma once
 /// \file
-/// What became of all requests, by kind, reason and moment, from the lines that
-/// daemons log at each request's end.
+/// Statistics of the outcomes of all requests by kind, reason and time, read
+/// from the lines that daemons log at the end of each request.
 ///
-/// A daemon writes a bounded number of such lines a second; each line tells how
-/// many of its code were left out before it, and stands for these too. So the
-/// counts add up to all requests, and their split by kind is an estimate where
-/// lines were left out. Memory is bounded: by the number of kinds and reasons,
-/// and moments are made coarser when they grow many.
+/// A daemon logs a bounded number of such lines per second. Each line contains
+/// the number of lines of the same code that were dropped before it, and is
+/// counted for those too. So the totals are exact, and the distribution by kind
+/// is an estimate where lines were dropped. Memory is bounded: the numbers of
+/// kinds and reasons are limited, and the time intervals are made longer when
+/// there are too many.
 
 #include <nlohmann/json.hpp>
 
@@ -22,31 +23,31 @@
 /// How a request ended for its caller.
 enum class RequestFate {
   InTime,      ///< Answered within its route's objective and pauses.
-  LateFirst,   ///< Its first event, or its answer, came late.
+  LateFirst,   ///< Its first event, or its answer, missed the objective.
   LatePause,   ///< A pause between two events was too long.
-  LateAttempt, ///< Late since an earlier attempt had been refused.
-  Refused,     ///< Not run, and told so.
-  Broken,      ///< Part of an answer came.
-  Failed,      ///< It may have run; no answer came.
+  LateAttempt, ///< Missed its objective as an earlier attempt was refused.
+  Refused,     ///< Not run, and reported as such.
+  Broken,      ///< Only a part of the answer was sent.
+  Failed,      ///< It may have run; no answer was sent.
   CallerLeft,
 };
 
-/// E.g. "in-time".
+/// \returns the name of \p Fate in reports, e.g. "in-time".
 std::string_view fateName(RequestFate Fate);
 
 class OutcomeReport {
 public:
-  /// Takes in all lines of \p Logs that tell of a request's end.
+  /// Adds all lines of \p Logs that report the end of a request.
   void read(std::istream &Logs);
 
   std::uint64_t total() const { return Total_; }
-  /// Requests whose lines were left out, of the total.
+  /// The number of requests in the total whose lines were dropped.
   std::uint64_t leftOut() const { return LeftOut_; }
-  /// Lines that look like a log line and can't be read.
+  /// The number of lines that look like log lines but can't be parsed.
   std::uint64_t brokenLines() const { return BrokenLines_; }
   std::uint64_t count(RequestFate Fate) const;
 
-  /// Tables for people, with a bar for each moment.
+  /// Formats the report as text tables, with a bar for each interval.
   std::string text() const;
   nlohmann::ordered_json json() const;
 
@@ -54,7 +55,7 @@
   struct Cause {
     RequestFate Fate_;
     int Code_ = 0;
-    // NOLINTNEXTLINE: blames the code that the compiler writes here.
+    // NOLINTNEXTLINE: the warning is about compiler-generated code.
     auto operator<=>(const Cause &) const = default;
   };
   using FateCounts = std::map<RequestFate, std::uint64_t>;
@@ -65,7 +66,7 @@
 
   std::map<std::string, std::map<Cause, std::uint64_t>> ByKind_;
   std::map<std::uint64_t, FateCounts> ByMoment_;
-  /// Length of a moment.
+  /// Length of an interval of ByMoment_.
   std::uint64_t MomentSeconds_ = 1;
   std::uint64_t Total_ = 0;
   std::uint64_t LeftOut_ = 0;
--- a/Source/Programs/RequestStory.cpp
+++ b/Source/Programs/RequestStory.cpp
@@ -14,13 +14,13 @@
 
 using Json = nlohmann::ordered_json;
 
-/// Fields that say the same of every line of a story.
+/// Fields that are shown in columns of their own, or not at all.
 const std::set<std::string> CommonFields = {"time", "level", "vm", "category",
                                             "event"};
 
 struct ReadLine {
   LogLine Line_;
-  double Seconds_ = 0; ///< Within its day.
+  double Seconds_ = 0; ///< Since the start of its day.
 };
 
 std::string valueText(const Json &Value) {
@@ -43,7 +43,7 @@
   for (const auto &[Name, Value] : Line.items())
     if (!CommonFields.contains(Name))
       Read.Line_.Fields_ += fmt::format(" {}={}", Name, valueText(Value));
-  // Lines of other requests are no beliefs.
+  // Lines of other requests are not state changes.
   bool OfAnother = !Read.Line_.OfRequest_ &&
                    (Line.contains("request") || Line.contains("call"));
   return OfAnother ? std::nullopt : std::optional(std::move(Read));
@@ -61,7 +61,7 @@
 }
 
 RequestStory readStory(std::istream &Logs, const std::string &Id,
-                       double BeliefSeconds) {
+                       double ContextSeconds) {
   std::vector<ReadLine> All;
   for (std::string Text; std::getline(Logs, Text);)
     if (auto Read = parseLine(Text, Id))
@@ -79,9 +79,10 @@
     if (Read.Line_.OfRequest_)
       Vms.insert(Read.Line_.Vm_);
   for (ReadLine &Read : All) {
-    bool Near = Read.Seconds_ >= First - BeliefSeconds &&
-                Read.Seconds_ <= Last->Seconds_;
-    if (Read.Line_.OfRequest_ || (Near && Vms.contains(Read.Line_.Vm_)))
+    bool WithinContext = Read.Seconds_ >= First - ContextSeconds &&
+                         Read.Seconds_ <= Last->Seconds_;
+    if (Read.Line_.OfRequest_ ||
+        (WithinContext && Vms.contains(Read.Line_.Vm_)))
       Story.Lines_.push_back(std::move(Read.Line_));
   }
   return Story;
--- a/Source/Programs/RequestStory.h
+++ b/Source/Programs/RequestStory.h
@@ -1,7 +1,7 @@
 #pragma once
 /// \file
-/// What the logs of several daemons tell of one request, in order, with what
-/// its daemons came to believe shortly before.
+/// The timeline of one request from the logs of several daemons, with the state
+/// changes that these daemons logged shortly before.
 
 #include <istream>
 #include <string>
@@ -14,7 +14,7 @@
   std::string Time_;
   std::string Vm_;
   std::string Event_;
-  /// All further fields as "name=value", in their order.
+  /// All other fields as "name=value", in their order in the line.
   std::string Fields_;
   bool OfRequest_ = false;
 };
@@ -23,14 +23,15 @@
   std::vector<LogLine> Lines_;
   bool Found_ = false;
 
-  /// One line each, for people.
+  /// Formats the timeline as text, one line per log line.
   std::string text() const;
 };
 
-/// Reads JSON lines, also with something before the JSON; others are passed
-/// over. \p Id is a request's id or the caller's own for it. Beliefs are taken
-/// from \p BeliefSeconds before the request's first line to its last.
+/// Reads JSON log lines, which may be preceded by other text; other lines are
+/// skipped. \p Id is the id of a request or the caller's own id for it. Lines
+/// about state changes of the daemons involved are included from \p
+/// ContextSeconds before the request's first line until its last line.
 RequestStory readStory(std::istream &Logs, const std::string &Id,
-                       double BeliefSeconds);
+                       double ContextSeconds);
 
 } // namespace samphireshunt
--- a/Source/Programs/SamphireshuntdMain.cpp
+++ b/Source/Programs/SamphireshuntdMain.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// samphireshuntd, with the product's own platform.
+/// The samphireshuntd program, for the product's own platform.
 
 #include "Programs/DaemonMain.h"
 
--- a/Source/Programs/Settings.cpp
+++ b/Source/Programs/Settings.cpp
@@ -25,67 +25,68 @@
           "IP:port of the platform's key-value service.");
 ABSL_FLAG(int, platform_timeout_ms, 1000, "Limit of one call, in ms.");
 ABSL_FLAG(std::string, advertise_peers, "",
-          "IP:port told to other daemons, when not peers_address.");
+          "IP:port announced to other daemons, if not peers_address.");
 ABSL_FLAG(std::string, advertise_operators, "",
-          "IP:port told to operators, when not operators_address.");
+          "IP:port announced to operators, if not operators_address.");
 ABSL_FLAG(double, link_mbps, 0,
-          "What this VM's network link carries, in Mbit/s; daemons with strong "
-          "links keep cells first; 0: unknown.");
+          "Bandwidth of this VM's network link, in Mbit/s; daemons with fast "
+          "links are the first to schedule cells; 0: unknown.");
 ABSL_FLAG(std::string, seed_peers, "",
-          "IP:port,... of daemons to join while the platform is down.");
+          "IP:port,... of daemons to join while the platform is unavailable.");
 ABSL_FLAG(int, threads, 2,
           "Worker threads for requests, 0 to 64; 0: the control thread serves "
           "them.");
 ABSL_FLAG(int, max_connections, 10000, "Callers' connections at once.");
 ABSL_FLAG(int, read_timeout_ms, 30000,
-          "How long a request may take to arrive, and an idle connection to "
-          "stay, in ms.");
+          "How long a request may take to arrive, and how long an idle "
+          "connection is kept open, in ms.");
 ABSL_FLAG(int, drain_delay_ms, 5000,
-          "After SIGTERM, how long new connections are still taken, in ms.");
+          "After SIGTERM, how long new connections are still accepted, in ms.");
 ABSL_FLAG(int, drain_timeout_ms, 600000,
           "After SIGTERM, how long running requests may take, in ms.");
 ABSL_FLAG(int, drain_admit_ms, 600000,
-          "After SIGTERM, how long streams are still begun, in ms.");
+          "After SIGTERM, how long new streams are still accepted, in ms.");
 ABSL_FLAG(int, drain_quiet_ms, 0,
-          "After the drain delay, connections are taken until none came for "
-          "this long, in ms; 0: none is taken after the delay.");
+          "After the drain delay, connections are accepted until there was "
+          "none for this long, in ms; 0: none is accepted after the delay.");
 ABSL_FLAG(std::string, log_output, "stdout", "stdout or stderr.");
 ABSL_FLAG(std::string, metrics_address, "",
           "IP:port that serves /metrics besides operators_address.");
 ABSL_FLAG(int, apply_bound_ms, 0,
-          "How long after its acceptance a configuration may not be in force "
-          "yet, in ms; 0: no bound.");
+          "Longest time from the acceptance of a configuration until it is "
+          "active, in ms; 0: no bound.");
 ABSL_FLAG(int, revocation_bound_ms, 0,
-          "How long a key may work that was taken away, in ms; 0: no bound.");
+          "How long a revoked key may still be accepted, in ms; 0: no bound.");
 ABSL_FLAG(std::string, admission, "tiers",
           "tiers: strictly by tier; objectives: by latency objective, with a "
-          "guaranteed part of each tier.");
+          "guaranteed share for each tier.");
 ABSL_FLAG(double, guaranteed_share, 0.3,
-          "With objectives: how often each tier is served whatever higher "
-          "tiers ask for, as a part of how often all are.");
+          "With objectives: minimum ratio of granted to received requests in "
+          "each tier, as a fraction of that ratio over all tiers.");
 ABSL_FLAG(int, daemons_per_reader, 12,
-          "One daemon in so many reads the platform's service, and the others "
-          "follow it; 0: all read it.");
+          "One of this many daemons reads the platform's service, and the "
+          "others follow it; 0: all read it.");
 ABSL_FLAG(double, repeat_ratio, 0.2,
-          "Repeats of requests by requests, within the window.");
+          "Ratio of retries to requests that is allowed within the window.");
 ABSL_FLAG(double, repeat_extra, 10,
-          "Repeats on top of that, in the whole fleet.");
-ABSL_FLAG(double, repeat_window_s, 10, "Window of repeats, in seconds.");
+          "Number of additional retries that are allowed in the whole fleet.");
+ABSL_FLAG(double, repeat_window_s, 10,
+          "Window of the limit of retries, in seconds.");
 ABSL_FLAG(double, allotment_window_s, 8,
-          "Window within which allotments are judged, in seconds.");
+          "Window in which the use of allotments is measured, in seconds.");
 ABSL_FLAG(double, allotment_overrun, 0,
-          "What is tolerated beyond an allotment, as a part of it.");
+          "Tolerated use beyond an allotment, as a fraction of it.");
 ABSL_FLAG(double, allotment_credit, 0,
-          "What is tolerated on top of that, in the allotment's unit.");
+          "Additional tolerated use, in the allotment's unit.");
 ABSL_FLAG(std::string, log_level, "info", "debug, info, warning or error.");
 ABSL_FLAG(std::string, scheduling, "keepers",
-          "keepers; or two-choices, the baseline of measurements.");
+          "keepers; or two-choices, a baseline for benchmarks.");
 ABSL_FLAG(std::string, leave_out, "",
-          "For measurements only: decisions that are not taken, of tiers, "
+          "For benchmarks only: scheduling decisions to disable, of tiers, "
           "fairness, feasibility, preemption, prefixes, speeds, limits, "
           "pauses, late-apart, lengths, room, returns, ahead, quick.");
 ABSL_FLAG(std::string, trace_collector, "",
-          "IP:port that takes OTLP/HTTP JSON traces; empty: none.");
+          "IP:port that receives OTLP/HTTP JSON traces; empty: none.");
 
 namespace samphireshunt {
 
@@ -127,7 +128,7 @@
                                   "allotment_window_s",
                                   "allotment_overrun"};
 
-constexpr std::array<std::string_view, 14> LeavableDecisions = {
+constexpr std::array<std::string_view, 14> OptionalDecisions = {
     "tiers",  "fairness", "feasibility", "preemption", "prefixes",
     "speeds", "limits",   "pauses",      "late-apart", "lengths",
     "room",   "returns",  "ahead",       "quick"};
@@ -140,7 +141,7 @@
   return Name;
 }
 
-/// Collects what is wrong, so that all of it is told at once.
+/// Collects all errors, so that they are reported together.
 class Checker {
 public:
   void environment() {
@@ -148,7 +149,7 @@
       const char *Value = std::getenv(environmentName(Name).c_str());
       std::string Error;
       if (Value && !absl::FindCommandLineFlag(Name)->ParseFrom(Value, &Error))
-        bad(environmentName(Name), Error);
+        addError(environmentName(Name), Error);
     }
   }
   Endpoint address(std::string_view Name, const std::string &Text,
@@ -157,17 +158,17 @@
       return {};
     auto Parsed = parseEndpoint(Text);
     if (!Parsed)
-      bad(Name, Parsed.error().Detail_);
+      addError(Name, Parsed.error().Detail_);
     return Parsed ? *Parsed : Endpoint();
   }
   int number(std::string_view Name, int Value, int Low, int High) {
     if (Value < Low || Value > High)
-      bad(Name, fmt::format("{} is not from {} to {}", Value, Low, High));
+      addError(Name, fmt::format("{} is not from {} to {}", Value, Low, High));
     return Value;
   }
   double amount(std::string_view Name, double Value) {
     if (!(Value >= 0))
-      bad(Name, fmt::format("{} is less than 0", Value));
+      addError(Name, fmt::format("{} is less than 0", Value));
     return Value;
   }
   std::chrono::milliseconds seconds(std::string_view Name, double Value) {
@@ -177,16 +178,16 @@
   std::string oneOf(std::string_view Name, std::string Value,
                     std::vector<std::string_view> Allowed) {
     if (!std::ranges::count(Allowed, Value))
-      bad(Name, fmt::format("'{}' is not one of {}", Value,
-                            fmt::join(Allowed, ", ")));
+      addError(Name, fmt::format("'{}' is not one of {}", Value,
+                                 fmt::join(Allowed, ", ")));
     return Value;
   }
   std::string text(std::string_view Name, std::string Value) {
     if (Value.empty())
-      bad(Name, "must be set");
+      addError(Name, "must be set");
     return Value;
   }
-  void bad(std::string_view Name, std::string_view Problem) {
+  void addError(std::string_view Name, std::string_view Problem) {
     Problems_.push_back(fmt::format("{}: {}", Name, Problem));
   }
   const std::vector<std::string> &problems() const { return Problems_; }
@@ -203,12 +204,12 @@
   return List;
 }
 
-/// The settings that the flags stand for now.
+/// \returns the settings for the current values of the flags.
 Result<Settings> fromFlags(Checker Check) {
   constexpr int HourMs = 3600 * 1000;
   constexpr int MaxThreads = 64;
   constexpr int MaxConnectionsLimit = 1000000;
-  constexpr double MostLinkMbps = 1e6;
+  constexpr double MaxLinkMbps = 1e6;
   Settings Read;
   Read.Vm_ = VmId(Check.text("vm_id", absl::GetFlag(FLAGS_vm_id)));
   Read.DataCenter_ = DataCenterName(
@@ -226,13 +227,13 @@
                    absl::GetFlag(FLAGS_platform_timeout_ms), 1, HourMs));
   Read.AdvertisedPeers_ = absl::GetFlag(FLAGS_advertise_peers);
   Check.address("advertise_peers", Read.AdvertisedPeers_, false);
-  // Other VMs can't connect to "any address".
+  // Other VMs can't connect to an unspecified address.
   if (Read.Peers_.address().is_unspecified() && Read.AdvertisedPeers_.empty())
-    Check.bad("advertise_peers", "must be set when peers_address is any");
+    Check.addError("advertise_peers", "must be set when peers_address is any");
   Read.AdvertisedOperators_ = absl::GetFlag(FLAGS_advertise_operators);
   Check.address("advertise_operators", Read.AdvertisedOperators_, false);
   Read.LinkMbps_ = static_cast<std::uint32_t>(std::min(
-      Check.amount("link_mbps", absl::GetFlag(FLAGS_link_mbps)), MostLinkMbps));
+      Check.amount("link_mbps", absl::GetFlag(FLAGS_link_mbps)), MaxLinkMbps));
   Read.SeedPeers_ = addressList(Check, absl::GetFlag(FLAGS_seed_peers));
   Read.Threads_ = static_cast<std::size_t>(
       Check.number("threads", absl::GetFlag(FLAGS_threads), 0, MaxThreads));
@@ -264,10 +265,10 @@
                         : LogOutput::StandardOutput;
   Read.GuaranteedShare_ =
       Check.amount("guaranteed_share", absl::GetFlag(FLAGS_guaranteed_share));
-  constexpr int MostPerReader = 1000;
+  constexpr int MaxPerReader = 1000;
   Read.DaemonsPerReader_ = static_cast<std::size_t>(
       Check.number("daemons_per_reader",
-                   absl::GetFlag(FLAGS_daemons_per_reader), 0, MostPerReader));
+                   absl::GetFlag(FLAGS_daemons_per_reader), 0, MaxPerReader));
   Read.RepeatRatio_ =
       Check.amount("repeat_ratio", absl::GetFlag(FLAGS_repeat_ratio));
   Read.RepeatExtra_ =
@@ -286,12 +287,12 @@
   std::string Scheduling = absl::GetFlag(FLAGS_scheduling);
   Read.TwoChoices_ = Scheduling == "two-choices";
   if (!Read.TwoChoices_ && Scheduling != "keepers")
-    Check.bad("scheduling", fmt::format("'{}' is not known", Scheduling));
+    Check.addError("scheduling", fmt::format("'{}' is not known", Scheduling));
   Read.LeftOut_ =
       absl::StrSplit(absl::GetFlag(FLAGS_leave_out), ',', absl::SkipEmpty());
   for (const std::string &Name : Read.LeftOut_)
-    if (!std::ranges::count(LeavableDecisions, Name))
-      Check.bad("leave_out", fmt::format("'{}' is not known", Name));
+    if (!std::ranges::count(OptionalDecisions, Name))
+      Check.addError("leave_out", fmt::format("'{}' is not known", Name));
   Read.TraceCollector_ = Check.address(
       "trace_collector", absl::GetFlag(FLAGS_trace_collector), false);
   if (!Check.problems().empty())
@@ -300,19 +301,20 @@
   return Read;
 }
 
-/// "--name=value", a line each; empty lines and comments are passed over.
+/// Reads lines of the form "--name=value". Empty lines and comments are
+/// skipped.
 std::vector<std::pair<std::string, std::string>>
 readFlagFile(const std::string &Path, Checker &Check) {
   std::vector<std::pair<std::string, std::string>> Lines;
   std::ifstream File(Path);
   if (!File)
-    Check.bad("flagfile", fmt::format("can't read {}", Path));
+    Check.addError("flagfile", fmt::format("can't read {}", Path));
   for (std::string Line; std::getline(File, Line);) {
     if (Line.empty() || Line.starts_with('#'))
       continue;
     std::size_t Equals = Line.find('=');
     if (!Line.starts_with("--") || Equals == std::string::npos) {
-      Check.bad("flagfile", fmt::format("'{}' is not --name=value", Line));
+      Check.addError("flagfile", fmt::format("'{}' is not --name=value", Line));
       continue;
     }
     constexpr std::size_t Dashes = 2;
@@ -322,12 +324,12 @@
   return Lines;
 }
 
-/// The values of all flags, to be put back.
-std::vector<std::pair<std::string, std::string>> presentFlags() {
-  std::vector<std::pair<std::string, std::string>> Present;
+/// \returns the current values of all flags, to be restored later.
+std::vector<std::pair<std::string, std::string>> currentFlags() {
+  std::vector<std::pair<std::string, std::string>> Current;
   for (const char *Name : FlagNames)
-    Present.emplace_back(Name, absl::FindCommandLineFlag(Name)->CurrentValue());
-  return Present;
+    Current.emplace_back(Name, absl::FindCommandLineFlag(Name)->CurrentValue());
+  return Current;
 }
 
 void setFlag(const std::string &Name, const std::string &Value,
@@ -335,9 +337,9 @@
   std::string Error;
   bool Known = std::ranges::count(FlagNames, Name) > 0;
   if (!Known)
-    return Check.bad(Name, "is not known");
+    return Check.addError(Name, "is not known");
   if (!absl::FindCommandLineFlag(Name)->ParseFrom(Value, &Error))
-    Check.bad(Name, Error);
+    Check.addError(Name, Error);
 }
 
 } // namespace
@@ -357,7 +359,7 @@
 }
 
 Result<Settings> Settings::reload() const {
-  auto Before = presentFlags();
+  auto Before = currentFlags();
   Checker Check;
   for (const auto &[Name, Value] : readFlagFile(FlagFile_, Check))
     setFlag(Name, Value, Check);
--- a/Source/Programs/Settings.h
+++ b/Source/Programs/Settings.h
@@ -1,7 +1,8 @@
 #pragma once
 /// \file
-/// The daemon's settings: flags, each with an environment variable
-/// SAMPHIRESHUNT_<NAME>. A flag on the command line goes first.
+/// The daemon's settings: flags, each of which can also be set by an
+/// environment variable SAMPHIRESHUNT_<NAME>. A flag on the command line takes
+/// precedence.
 
 #include "Common/Ids.h"
 #include "Common/Log.h"
@@ -22,65 +23,71 @@
   Endpoint Operators_;
   Endpoint Platform_;
   std::chrono::milliseconds PlatformTimeout_{1000};
-  /// What other daemons and operators are told; empty: the addresses bound.
+  /// Addresses announced to other daemons and to operators; if empty, the bound
+  /// addresses.
   std::string AdvertisedPeers_;
   std::string AdvertisedOperators_;
-  /// What this VM's network link carries, in Mbit/s; 0 is unknown.
+  /// Bandwidth of this VM's network link in Mbit/s; 0 is unknown.
   std::uint32_t LinkMbps_ = 0;
-  /// Peers to join when the platform does not answer.
+  /// Daemons to join while the platform is unavailable.
   std::vector<Endpoint> SeedPeers_;
-  /// 0: requests are served by the control thread.
+  /// Number of worker threads. 0: the control thread serves requests.
   std::size_t Threads_ = 2;
   std::size_t MaxConnections_ = 10000;
   std::chrono::milliseconds ReadTimeout_{30000};
   std::chrono::milliseconds DrainDelay_{5000};
   std::chrono::milliseconds DrainTimeout_{600000};
-  /// How long after SIGTERM requests are taken that may last for long.
+  /// How long after SIGTERM requests that may take long are still accepted.
   std::chrono::milliseconds DrainAdmit_{600000};
-  /// After the delay, a stop waits until no connection was taken for this
-  /// long; 0: it takes no more at once.
+  /// After DrainDelay_, a stop waits until no connection has been accepted for
+  /// this long. 0: no connection is accepted after the delay.
   std::chrono::milliseconds DrainQuiet_{0};
   std::string LogLevel_;
   LogOutput LogOutput_ = LogOutput::StandardOutput;
-  /// Where /metrics is served as well; an unspecified port is nowhere.
+  /// An additional address for /metrics; port 0 means none.
   Endpoint Metrics_;
-  /// How long a key may work that was taken away; 0: the configuration in
-  /// force is always taken as the newest.
+  /// How long a revoked key may still be accepted. 0: no bound, the active
+  /// configuration is always assumed to be the newest.
   std::chrono::milliseconds RevocationBound_{0};
-  /// How long after its acceptance a configuration may not be in force yet; 0:
-  /// no bound.
+  /// The longest time from the acceptance of a configuration until it is
+  /// active. 0: no bound.
   std::chrono::milliseconds ApplyBound_{0};
-  /// Requests are served by their objectives, with a guaranteed part of each
-  /// tier, rather than strictly by tier.
+  /// Requests are scheduled by their objectives, with a guaranteed share for
+  /// each tier, instead of strictly by tier.
   bool ByObjective_ = false;
-  /// How often each tier is served whatever higher tiers ask for, by
-  /// objectives: a part of how often all are.
+  /// The minimum ratio of granted to received requests in each tier, regardless
+  /// of the requests of higher tiers, when scheduling by objectives; a fraction
+  /// of that ratio over all tiers.
   double GuaranteedShare_ = 0.3;
-  /// One daemon in so many reads the platform's service; 0: all do.
+  /// One of this many daemons reads the platform's service. 0: all daemons read
+  /// it.
   std::size_t DaemonsPerReader_ = 12;
-  /// Repeats of requests: their part of all requests, and how many on top in
-  /// the whole fleet, within the window.
+  /// Limits of retries of requests within RepeatWindow_: the ratio to all
+  /// requests, and an additional number for the whole fleet.
   double RepeatRatio_ = 0.2;
   double RepeatExtra_ = 10;
   std::chrono::milliseconds RepeatWindow_{10000};
-  /// What customers may use within a window beyond their allotments: a part of
-  /// those, and on top an amount in their unit.
+  /// What customers may use beyond their allotments within AllotmentWindow_: a
+  /// fraction of the allotment, and an additional amount in the unit of the
+  /// allotment.
   std::chrono::milliseconds AllotmentWindow_{8000};
   double AllotmentOverrun_ = 0;
   double AllotmentCredit_ = 0;
-  /// The file that the flags were read from, for a reload.
+  /// The file from which the flags were read, for a reload.
   std::string FlagFile_;
-  /// Every daemon schedules by itself; the baseline of measurements.
+  /// Every daemon schedules by itself; a baseline for benchmarks.
   bool TwoChoices_ = false;
-  /// Decisions that a measurement leaves out.
+  /// Scheduling decisions that are disabled, for benchmarks.
   std::vector<std::string> LeftOut_;
-  /// Where traces go; an unspecified port is nowhere.
+  /// The address to which traces are sent; port 0 means none.
   Endpoint TraceCollector_;
 
-  /// Reads flags and environment. \returns BadSetting with all that is wrong.
+  /// Reads flags and environment variables.
+  /// \returns BadSetting with all errors that were found.
   static Result<Settings> parse(int ArgumentCount, char **Arguments);
-  /// Reads the flag file once more. \returns BadSetting, and leaves the flags
-  /// as they were, when any of it is wrong.
+  /// Reads the flag file again.
+  /// \returns BadSetting, and leaves the flags unchanged, when it contains an
+  /// error.
   Result<Settings> reload() const;
 };
 
--- a/Source/Programs/TraceExporter.h
+++ b/Source/Programs/TraceExporter.h
@@ -1,7 +1,7 @@
 #pragma once
 /// \file
-/// Sends finished traces as OTLP/HTTP JSON. A trace is dropped before it ever
-/// slows a request; the drops are counted.
+/// Exports finished traces as OTLP/HTTP JSON. Traces are dropped and counted
+/// rather than slowing down requests.
 
 #include "Connection/Http.h"
 #include "Request/Trace.h"
@@ -27,7 +27,7 @@
   TraceExporter(boost::asio::io_context &Control, Options Settings);
   void start();
   void stop() { Stopped_ = true; }
-  /// Queues a trace or drops it; from any thread, never waits.
+  /// Queues a trace or drops it. Thread-safe; never blocks.
   void offer(TraceRecord Record);
   std::uint64_t dropped() const { return Dropped_; }
 
--- a/Tools/mutations.sh
+++ b/Tools/mutations.sh
@@ -123,7 +123,7 @@
   's/return CallerServer_->activeExchanges\(\) == 0 && Quiet;/(void)Quiet;\n  return true;/' \
   ${F}LeavingTest '*graceful stop*'
 mutate look-before-stop $S/Programs/DaemonLife.cpp \
-  's/std::vector<asio::io_context \*> Turns\(LookTurns.*?lookThrough\(std::move\(Turns\)\);/onLookedAround();/s' \
+  's/std::vector<asio::io_context \*> Contexts\(FlushIterations.*?lookThrough\(std::move\(Contexts\)\);/onLookedAround();/s' \
   ${F}LeavingTest '*comes due while*'
 mutate version-order $S/Version/DocumentStore.cpp \
   's/InForce->Version_ >= Source\.Version_/InForce->Version_ == Source.Version_/' \
