--- a/UnitTests/Common/CrashReportTest.cpp
+++ b/UnitTests/Common/CrashReportTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// What a process writes when it ends by itself; each case ends a copy of this
-/// one.
+/// Tests of the log line of a crashing process; each test ends a fork of the
+/// test process.
 
 #include "Common/CrashReport.h"
 
@@ -18,13 +18,14 @@
 
 namespace {
 
-struct Ended {
+struct FaultResult {
   int Signal_ = 0;
-  std::string Said_;
+  std::string Output_;
 };
 
-/// Runs \p Fault in a copy of this process, with the report in place.
-Ended endBy(const std::function<void()> &Fault) {
+/// Runs \p Fault in a forked process with crash reports installed.
+/// \returns the signal that ended the process, or 0, and what it wrote.
+FaultResult runFault(const std::function<void()> &Fault) {
   std::array<int, 2> Pipe{};
   REQUIRE(pipe(Pipe.data()) == 0);
   pid_t Child = fork();
@@ -35,45 +36,46 @@
     _exit(0);
   }
   close(Pipe[1]);
-  Ended Seen;
+  FaultResult Result;
   std::array<char, 1024> Space;
   for (ssize_t Count = 0;
        (Count = read(Pipe[0], Space.data(), Space.size())) > 0;)
-    Seen.Said_.append(Space.data(), static_cast<std::size_t>(Count));
+    Result.Output_.append(Space.data(), static_cast<std::size_t>(Count));
   close(Pipe[0]);
   int Status = 0;
   waitpid(Child, &Status, 0);
-  Seen.Signal_ = WIFSIGNALED(Status) ? WTERMSIG(Status) : 0;
-  return Seen;
+  Result.Signal_ = WIFSIGNALED(Status) ? WTERMSIG(Status) : 0;
+  return Result;
 }
 
 void fail() { throw std::runtime_error("a \"bad\" end"); }
 
-bool holds(const std::string &Text, const std::string &Part) {
+bool contains(const std::string &Text, const std::string &Part) {
   return Text.find(Part) != std::string::npos;
 }
 
 } // namespace
 
-TEST_CASE("a process that a signal ends says where it was") {
-  // Symptom: a daemon's log stops in the middle of a second, all its callers'
-  // connections close, and nothing tells why.
-  // Cause: a process that ends by a signal writes nothing by itself.
-  Ended Seen = endBy([] { std::raise(SIGFPE); });
-  CHECK(Seen.Signal_ == SIGFPE);
-  CHECK(holds(Seen.Said_, R"("vm":"vm-1","category":"process")"));
-  CHECK(holds(Seen.Said_, R"("event":"ended-by-signal","signal":"8")"));
-  CHECK(holds(Seen.Said_, R"("stack":[")"));
-  CHECK(Seen.Said_.ends_with("]}\n"));
+TEST_CASE("a process that is ended by a signal logs where it was") {
+  // A process that ends by a signal writes nothing by itself. Without the
+  // report, a daemon's log would stop, all its callers' connections close, and
+  // the cause remain unknown.
+  FaultResult Result = runFault([] { std::raise(SIGFPE); });
+  CHECK(Result.Signal_ == SIGFPE);
+  CHECK(contains(Result.Output_, R"("vm":"vm-1","category":"process")"));
+  CHECK(contains(Result.Output_, R"("event":"ended-by-signal","signal":"8")"));
+  CHECK(contains(Result.Output_, R"("stack":[")"));
+  CHECK(Result.Output_.ends_with("]}\n"));
 }
 
-TEST_CASE("a process that an uncaught exception ends says which and where") {
-  // The same symptom; where no handler of SIGABRT is run, the line must be
-  // written before the process aborts itself.
-  Ended Seen = endBy([]() noexcept { fail(); });
-  CHECK(Seen.Signal_ == SIGABRT);
-  CHECK(holds(Seen.Said_, R"("event":"ended-by-exception")"));
-  CHECK(holds(Seen.Said_, R"("detail":"a  bad  end")"));
-  CHECK(holds(Seen.Said_, R"("stack":[")"));
-  CHECK(Seen.Said_.find('\n') == Seen.Said_.size() - 1);
+TEST_CASE(
+    "a process that is ended by an uncaught exception logs which and where") {
+  // An uncaught exception ends the process. Where no handler of SIGABRT is run,
+  // the line must be written before the process aborts itself.
+  FaultResult Result = runFault([]() noexcept { fail(); });
+  CHECK(Result.Signal_ == SIGABRT);
+  CHECK(contains(Result.Output_, R"("event":"ended-by-exception")"));
+  CHECK(contains(Result.Output_, R"("detail":"a  bad  end")"));
+  CHECK(contains(Result.Output_, R"("stack":[")"));
+  CHECK(Result.Output_.find('\n') == Result.Output_.size() - 1);
 }
--- a/UnitTests/Common/LogSinkTest.cpp
+++ b/UnitTests/Common/LogSinkTest.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A pipe whose reader takes nothing until it is told to.
+/// A pipe whose reader reads only when readSome() is called.
 class StalledReader {
 public:
   StalledReader() { REQUIRE(::pipe(Ends_.data()) == 0); }
@@ -34,11 +34,10 @@
 
 } // namespace
 
-TEST_CASE("a reader of the logs that stalls neither stops nor grows the "
-          "process") {
-  // Symptom: requests hang while whoever reads standard output is busy.
-  // Sequence: the pipe is full; the next line is written.
-  // Cause: a write to a full pipe blocks.
+TEST_CASE("a stalled reader of the logs neither blocks the process nor "
+          "grows its memory") {
+  // The pipe is full when the next line is written. A blocking write would make
+  // requests hang while the reader of standard output is busy.
   StalledReader Reader;
   auto Sink = std::make_shared<NonBlockingSink>(Reader.writeEnd());
   spdlog::logger Logger("test", Sink);
@@ -47,11 +46,11 @@
   for (int Index = 0; Index < 10000; ++Index)
     Logger.info(Line);
   CHECK(Sink->dropped() > 0);
-  // Once the reader takes lines again it gets those that were kept, and is told
-  // of the others.
+  // Once the reader reads again, it receives the buffered lines and the number
+  // of dropped ones.
   std::string Read;
-  constexpr int MostReads = 100;
-  for (int Index = 0; Index < MostReads; ++Index) {
+  constexpr int MaxReads = 100;
+  for (int Index = 0; Index < MaxReads; ++Index) {
     Read += Reader.readSome();
     Logger.flush();
     if (Read.find("log-lines-dropped") != std::string::npos)
--- a/UnitTests/Common/LogTest.cpp
+++ b/UnitTests/Common/LogTest.cpp
@@ -4,7 +4,8 @@
 
 using namespace samphireshunt;
 
-TEST_CASE("a flood of one kind is cut, counted, and hides no other kind") {
+TEST_CASE(
+    "lines of one kind are limited and counted, and don't suppress others") {
   LogSampler Sampler(2);
   std::chrono::steady_clock::time_point Now{std::chrono::seconds(100)};
   CHECK(Sampler.admit(1, Now) == 0U);
--- a/UnitTests/Common/ResultCodeTest.cpp
+++ b/UnitTests/Common/ResultCodeTest.cpp
@@ -9,7 +9,7 @@
 
 using namespace samphireshunt;
 
-TEST_CASE("the table of codes is in rising order, with names of their own") {
+TEST_CASE("the table of codes is in ascending order, with unique names") {
   auto Table = resultCodeTable();
   CHECK(std::ranges::is_sorted(Table, std::ranges::less_equal(),
                                &ResultCodeInfo::Code_));
@@ -32,7 +32,7 @@
   }
 }
 
-TEST_CASE("a request id is read back from its text, and only from that") {
+TEST_CASE("a request id is parsed from its text, and from no other text") {
   RequestId Id{0x0123456789abcdef, 42};
   CHECK(Id.str() == "0123456789abcdef-000000000000002a");
   CHECK(RequestId::parse(Id.str()) == Id);
--- a/UnitTests/Common/SlidingCountTest.cpp
+++ b/UnitTests/Common/SlidingCountTest.cpp
@@ -5,7 +5,7 @@
 using namespace samphireshunt;
 using std::chrono::milliseconds;
 
-TEST_CASE("what happened longer ago than the window does not count") {
+TEST_CASE("amounts that are older than the window don't count") {
   SlidingCount<5> Count(milliseconds(1000));
   SlidingCount<5>::TimePoint Now{std::chrono::seconds(100)};
   Count.add(Now, 3);
--- a/UnitTests/Connection/EventSplitterTest.cpp
+++ b/UnitTests/Connection/EventSplitterTest.cpp
@@ -5,10 +5,10 @@
 
 using namespace samphireshunt;
 
-TEST_CASE("an event that is cut is held back, and its id does not count") {
-  // Symptom: pieces of two runs are joined in one stream.
-  // Sequence: an engine breaks off within an event; another goes on.
-  // Cause: the half event was passed on, or taken as the last one that came.
+TEST_CASE("an incomplete event is retained, and its id does not count") {
+  // An engine breaks off within an event and another engine resumes the stream.
+  // If the incomplete event were passed on, or counted as the last one
+  // received, the stream would contain pieces of two runs.
   EventSplitter Splitter;
   CHECK(Splitter.feed("id: 1\ndata: a\n\nid: 2\nda") == "id: 1\ndata: a\n\n");
   CHECK(Splitter.lastId() == "1");
@@ -19,14 +19,14 @@
   CHECK(Splitter.count() == 2);
 }
 
-TEST_CASE("lines may end in CR LF, and fields come in any order") {
+TEST_CASE("lines may end in CR LF, and fields may be in any order") {
   EventSplitter Splitter;
   CHECK(Splitter.feed("data: x\r\nid:7\r\n\r") == "");
   CHECK(Splitter.feed("\ndata") == "data: x\r\nid:7\r\n\r\n");
   CHECK(Splitter.lastId() == "7");
 }
 
-TEST_CASE("however a stream is cut into reads, the same bytes come out") {
+TEST_CASE("the output does not depend on how the stream is split into reads") {
   rc::check([] {
     const std::string Stream = "id: 1\ndata: a\n\n: note\n\nid: 2\r\ndata: "
                                "b\r\n\r\ndata: c\n\nid: 3\nda";
--- a/UnitTests/Connection/EventStreamTest.cpp
+++ b/UnitTests/Connection/EventStreamTest.cpp
@@ -5,7 +5,7 @@
 
 using namespace samphireshunt;
 
-TEST_CASE("events come out the same however their bytes are cut") {
+TEST_CASE("the parsed events do not depend on how their bytes are split") {
   bool Holds = rc::check([](const std::vector<std::uint8_t> &Cuts) {
     std::string Text = "id: a:0\ndata: one\n\n: a comment\n\n"
                        "event: error\r\ndata: two\r\ndata: more\r\n\r\n";
@@ -30,7 +30,7 @@
   CHECK(Holds);
 }
 
-TEST_CASE("an event that is cut off does not come out") {
+TEST_CASE("an incomplete event is not returned") {
   EventStream Parser;
   CHECK(Parser.feed("data: half\n").empty());
   CHECK_FALSE(Parser.atBoundary());
--- a/UnitTests/Connection/FrameChannelTest.cpp
+++ b/UnitTests/Connection/FrameChannelTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Two ends of a connection between daemons, in one thread.
+/// Tests of connections between daemons, with both ends in one thread.
 
 #include "Connection/FrameChannel.h"
 
@@ -21,8 +21,9 @@
 
 namespace {
 
-/// One end awaits the other's answers throughout. Each end has a context of its
-/// own, so that one may pause and the other not.
+/// Two connected channels. The near end awaits answers of the far end
+/// throughout. Each end has a context of its own, so that one can pause while
+/// the other runs.
 class TwoEnds {
 public:
   TwoEnds() {
@@ -65,8 +66,8 @@
   int Received_ = 0;
 };
 
-/// One end, and a bare socket in place of the other. The end awaits something
-/// only where the test says so.
+/// One channel connected to a bare socket. The channel awaits something only if
+/// the test says so.
 class OneEnd {
 public:
   explicit OneEnd(bool Awaiting, milliseconds Heartbeat = milliseconds(20))
@@ -83,26 +84,26 @@
   }
   ~OneEnd() { End_->close(); }
 
-  /// Sends all but the last byte of \p Frame in even parts, over \p Time.
+  /// Sends all but the last byte of \p Frame in equal chunks over \p Time.
   void sendSlowly(const std::string &Frame, milliseconds Time) {
-    constexpr std::size_t Parts = 30;
-    std::size_t Each = (Frame.size() - 1) / Parts;
+    constexpr std::size_t Chunks = 30;
+    std::size_t Each = (Frame.size() - 1) / Chunks;
     auto Begin = steady_clock::now();
-    for (std::size_t Part = 0; Part < Parts; ++Part) {
-      asio::write(Bare_, asio::buffer(Frame.data() + Part * Each, Each));
-      auto Next = Begin + (Part + 1) * Time / Parts;
+    for (std::size_t Chunk = 0; Chunk < Chunks; ++Chunk) {
+      asio::write(Bare_, asio::buffer(Frame.data() + Chunk * Each, Each));
+      auto Next = Begin + (Chunk + 1) * Time / Chunks;
       while (steady_clock::now() < Next)
         TwoEnds::runFor(Context_);
     }
-    std::size_t Sent = Parts * Each;
+    std::size_t Sent = Chunks * Each;
     asio::write(Bare_,
                 asio::buffer(Frame.data() + Sent, Frame.size() - 1 - Sent));
   }
   void sendLast(const std::string &Frame) {
     asio::write(Bare_, asio::buffer(&Frame.back(), 1));
   }
-  /// Bytes that have come at the bare socket and were not read yet.
-  std::size_t heard() { return Bare_.available(); }
+  /// The number of bytes that have arrived at the bare socket and are unread.
+  std::size_t unreadBytes() { return Bare_.available(); }
 
   asio::io_context Context_;
   FrameChannel::Timing Periods_;
@@ -112,16 +113,17 @@
   int Received_ = 0;
 };
 
-/// A message of at least so many bytes, as it is sent.
-std::string longMessage(std::size_t Bytes) {
+/// \returns an encoded message of at least \p Bytes bytes.
+std::string makeLongMessage(std::size_t Bytes) {
   wire::DocumentReplyT Body;
   Body.envelope = std::string(Bytes, 'x');
   return encodeMessage(std::move(Body));
 }
 
-/// The same with its length in front, the lowest byte first.
-std::string longFrame(std::size_t Bytes) {
-  std::string Message = longMessage(Bytes);
+/// \returns the same message as a frame: preceded by its length, the lowest
+/// byte first.
+std::string makeLongFrame(std::size_t Bytes) {
+  std::string Message = makeLongMessage(Bytes);
   std::string Frame;
   for (int Shift = 0; Shift < 32; Shift += 8)
     Frame += static_cast<char>(Message.size() >> Shift & 0xff);
@@ -130,15 +132,14 @@
 
 } // namespace
 
-TEST_CASE("a pause of this process is not taken for the other's silence") {
-  // Symptom: beside a large configuration, daemons drop links to others that
-  // run and answer, and with them all grants that were awaited there.
-  // Sequence: something is awaited; the process gets no processor for longer
-  // than a link may be silent, before it has asked for a sign of life; when it
-  // runs again the time is over and nothing has come.
-  // Cause: nothing was asked for, and the own pause was counted as silence.
+TEST_CASE("a pause of this process does not count as silence of the peer") {
+  // A process that awaits something is not scheduled for longer than the
+  // silence timeout, before it has requested a heartbeat. If its own pause
+  // counted as silence of the peer, it would drop links to daemons that run and
+  // answer, and with them all awaited grants. This happened beside a large
+  // configuration.
   TwoEnds Test;
-  // What comes is proof enough for some periods.
+  // Messages arrive for some heartbeat periods, so no heartbeat is requested.
   auto Begin = steady_clock::now() + 3 * Test.Periods_.Heartbeat_;
   REQUIRE(Test.runUntil([&] {
     Test.FarEnd_->send(encodeMessage(wire::FollowT()));
@@ -153,8 +154,9 @@
   CHECK_FALSE(Test.Closed_);
 }
 
-TEST_CASE("a link whose other end says nothing is closed, also after a pause") {
-  // The other end is never run: it takes what comes and says nothing.
+TEST_CASE(
+    "a link to a silent peer is closed, also after a pause of this process") {
+  // The far end never runs: its socket accepts data, and it sends nothing.
   TwoEnds Test;
   std::this_thread::sleep_until(steady_clock::now() +
                                 3 * Test.Periods_.Silence_);
@@ -164,14 +166,13 @@
   CHECK(Test.Closed_);
 }
 
-TEST_CASE("a long frame that comes slowly is not taken for silence") {
-  // Symptom: daemons on slow links never get a large configuration; their links
-  // to the daemon that they follow are closed and opened without end.
-  // Sequence: an answer comes that takes longer than a link may be silent.
-  // Cause: only whole messages counted as heard, so that the link was closed
-  // in the middle of the answer, and all of it was sent again to the next one.
+TEST_CASE("a long frame that comes slowly does not count as silence") {
+  // An answer takes longer to arrive than the silence timeout. If only complete
+  // messages counted as received, the link would be closed in the middle of the
+  // answer, and all of it sent again on the next link: daemons on slow links
+  // would never receive a large configuration.
   OneEnd Test(true);
-  std::string Frame = longFrame(300000);
+  std::string Frame = makeLongFrame(300000);
   Test.sendSlowly(Frame, 4 * Test.Periods_.Silence_);
   REQUIRE_FALSE(Test.Closed_);
   Test.sendLast(Frame);
@@ -181,9 +182,9 @@
   CHECK(Test.Received_ == 1);
 }
 
-TEST_CASE("a long frame that stops halfway is silence") {
+TEST_CASE("a long frame that stops halfway counts as silence") {
   OneEnd Test(true);
-  Test.sendSlowly(longFrame(300000), Test.Periods_.Silence_);
+  Test.sendSlowly(makeLongFrame(300000), Test.Periods_.Silence_);
   REQUIRE_FALSE(Test.Closed_);
   auto End = steady_clock::now() + std::chrono::seconds(5);
   while (!Test.Closed_ && steady_clock::now() < End)
@@ -191,43 +192,43 @@
   CHECK(Test.Closed_);
 }
 
-TEST_CASE("who takes a long frame says so before it is whole") {
-  // Symptom: a daemon closes the link over which it sends something long.
-  // Sequence: it asks for a sign of life behind a frame that takes longer than
-  // a link may be silent.
-  // Cause: the question is read only after the frame, and nothing else came.
+TEST_CASE("a peer that takes a long frame says so before it is complete") {
+  // A daemon requests a heartbeat behind a frame that takes longer to transfer
+  // than the silence timeout. The peer reads the request only after the frame;
+  // if it sent nothing before, the daemon would close the link over which it is
+  // sending.
   OneEnd Test(false);
-  std::string Frame = longFrame(300000);
+  std::string Frame = makeLongFrame(300000);
   Test.sendSlowly(Frame, 2 * Test.Periods_.Silence_);
-  CHECK(Test.heard() > 0);
+  CHECK(Test.unreadBytes() > 0);
   CHECK(Test.Received_ == 0);
 }
 
-TEST_CASE("a frame that is soon whole is not answered by a sign of life") {
+TEST_CASE("a frame that is complete soon is not answered by a heartbeat") {
   OneEnd Test(false, std::chrono::seconds(10));
-  std::string Frame = longFrame(300000);
+  std::string Frame = makeLongFrame(300000);
   asio::write(Test.Bare_, asio::buffer(Frame.data(), 1000));
   TwoEnds::runFor(Test.Context_);
   asio::write(Test.Bare_, asio::buffer(Frame.data() + 1000, 200000));
   while (Test.Context_.poll_one() > 0)
     ;
-  CHECK(Test.heard() == 0);
+  CHECK(Test.unreadBytes() == 0);
 }
 
 TEST_CASE("a link on which too much waits to be sent is closed") {
-  // Symptom: a daemon ends because its memory is over the limit.
-  // Sequence: another daemon asks for something large again and again and takes
-  // nothing of it.
-  // Cause: all answers were kept until they could be sent.
+  // A peer requests something large again and again and reads none of it.
+  // Without a limit of the send queue, the daemon would exceed its memory limit
+  // and be killed.
   OneEnd Test(false);
-  std::string Message = longMessage(1000000);
+  std::string Message = makeLongMessage(1000000);
   std::size_t Fitting = MaxQueuedBytes / (Message.size() + 4);
   for (std::size_t Sent = 0; Sent < Fitting; ++Sent)
     Test.End_->send(Message);
   CHECK(Test.End_->isOpen());
   Test.End_->send(Message);
   CHECK_FALSE(Test.End_->isOpen());
-  // The sender may be in the middle of changing its tables.
+  // Closed_ must not be called from send(): the sender may be modifying its
+  // tables.
   CHECK_FALSE(Test.Closed_);
   auto End = steady_clock::now() + std::chrono::seconds(5);
   while (!Test.Closed_ && steady_clock::now() < End)
@@ -235,22 +236,23 @@
   CHECK(Test.Closed_);
 }
 
-TEST_CASE("what was sent no longer counts as waiting") {
+TEST_CASE("sent messages no longer count as queued") {
   OneEnd Test(false);
-  std::string Message = longMessage(1000000);
-  std::string Taken(MaxFrameBytes, '\0');
+  std::string Message = makeLongMessage(1000000);
+  std::string Buffer(MaxFrameBytes, '\0');
   std::size_t Wanted = 3 * MaxQueuedBytes;
-  std::size_t Heard = 0;
+  std::size_t ReceivedBytes = 0;
   auto End = steady_clock::now() + std::chrono::seconds(5);
-  while (Heard < Wanted && steady_clock::now() < End) {
-    std::size_t Before = Heard;
+  while (ReceivedBytes < Wanted && steady_clock::now() < End) {
+    std::size_t Before = ReceivedBytes;
     Test.End_->send(Message);
-    while (Heard < Before + Message.size() && steady_clock::now() < End) {
+    while (ReceivedBytes < Before + Message.size() &&
+           steady_clock::now() < End) {
       TwoEnds::runFor(Test.Context_);
       boost::system::error_code Ignored;
-      Heard += Test.Bare_.read_some(asio::buffer(Taken), Ignored);
+      ReceivedBytes += Test.Bare_.read_some(asio::buffer(Buffer), Ignored);
     }
   }
-  CHECK(Heard >= Wanted);
+  CHECK(ReceivedBytes >= Wanted);
   CHECK(Test.End_->isOpen());
 }
--- a/UnitTests/Connection/HttpServerTest.cpp
+++ b/UnitTests/Connection/HttpServerTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The server of HTTP, against callers that are slow at the worst moment.
+/// Tests of the HTTP server with callers that are slow at unfavourable moments.
 
 #include "Connection/Http.h"
 
@@ -25,8 +25,8 @@
 
 constexpr milliseconds ReadTimeout{20};
 
-/// A server and one caller in the test's thread: what both do between two calls
-/// of poll() comes up in one turn.
+/// A server and one caller in the test's thread. Whatever both do between two
+/// calls of poll() is handled in one event-loop iteration.
 class ServerFixture {
 public:
   explicit ServerFixture(HttpHandler Handler) : Caller_(CallerContext_) {
@@ -66,20 +66,19 @@
 } // namespace
 
 TEST_CASE(
-    "a request that is whole when its time is up is served as any other") {
-  // Symptom: a caller closes its connection, and its request goes on waiting
-  // for an engine, and reaches one.
-  // Sequence: the process gets no processor for a while; the last bytes of a
-  // request come in meanwhile, and its time for reading ends; both come up in
-  // one turn, the read first.
-  // Cause: the timer's handler was queued already when the timer was cancelled,
-  // and cancelled whatever the connection did by then: the look-out for the
-  // caller's end, or a part of the answer.
-  bool Asked = false;
-  bool Left = false;
+    "a request that is complete when its read timeout expires is served") {
+  // The process is not scheduled for a while; meanwhile the last bytes of a
+  // request arrive and its read timeout expires. Both are handled in one
+  // event-loop iteration, the read first. The handler of the timer, already
+  // queued when the timer is cancelled, must not cancel the next operation of
+  // the connection: the wait for the caller's disconnect or a write of the
+  // response. Otherwise the request of a caller that has disconnected would
+  // keep waiting for an engine, and reach one.
+  bool Handled = false;
+  bool CallerLeft = false;
   ServerFixture Test([&](HttpExchange &Exchange) -> Awaitable<void> {
-    Asked = true;
-    Exchange.onCallerLeft([&] { Left = true; });
+    Handled = true;
+    Exchange.onCallerLeft([&] { CallerLeft = true; });
     asio::steady_timer Timer(co_await asio::this_coro::executor,
                              std::chrono::hours(1));
     co_await Timer.async_wait(asio::use_awaitable);
@@ -90,16 +89,16 @@
   std::this_thread::sleep_until(steady_clock::now() + 2 * ReadTimeout);
   Test.write("x");
   Test.poll();
-  REQUIRE(Test.pollUntil([&] { return Asked; }));
+  REQUIRE(Test.pollUntil([&] { return Handled; }));
   Test.Caller_.close();
-  CHECK(Test.pollUntil([&] { return Left; }));
+  CHECK(Test.pollUntil([&] { return CallerLeft; }));
 }
 
-TEST_CASE("a request whose handler throws is over, and its connection closed") {
-  // Symptom: a daemon that is to stop waits its whole time for requests that
-  // are long over.
-  // Sequence: the handler of a request ends by an exception.
-  // Cause: the count of requests that run was lowered on the usual way only.
+TEST_CASE(
+    "a request whose handler throws is finished, and its connection closed") {
+  // The handler of a request ends by an exception. If the count of active
+  // requests were decremented only on normal completion, a graceful stop would
+  // wait until its timeout for requests that have ended.
   ServerFixture Test([](HttpExchange &) -> Awaitable<void> {
     throw std::runtime_error("the handler's own");
     co_return;
@@ -113,11 +112,9 @@
 TEST_CASE(
     "a handler that throws while it looks out for its caller's end closes "
     "the connection too") {
-  // Symptom: a caller waits for an answer until its own time is up, and nothing
-  // comes, neither an answer nor the connection's end.
-  // Sequence: a handler looks out for its caller's end and ends by an
-  // exception.
-  // Cause: the look-out holds the connection until the caller itself ends it.
+  // A handler registers for the caller's disconnect and ends by an exception.
+  // The pending wait holds the connection; unless the connection is closed, the
+  // caller would wait for a response until its own timeout.
   ServerFixture Test([](HttpExchange &Exchange) -> Awaitable<void> {
     Exchange.onCallerLeft([] {});
     throw std::runtime_error("the handler's own");
--- a/UnitTests/Connection/PeerMessageTest.cpp
+++ b/UnitTests/Connection/PeerMessageTest.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-TEST_CASE("a message comes back as it was sent") {
+TEST_CASE("a decoded message equals the encoded one") {
   auto Decoded = decodeMessage(sampleProbe());
   REQUIRE(Decoded.has_value());
   const auto *Probe = Decoded->body.AsProbe();
@@ -32,11 +32,10 @@
   CHECK(Probe->versions.at(0)->version == 3);
 }
 
-TEST_CASE(
-    "bytes that were changed on the way never reach out of their buffer") {
-  // Symptom: a daemon dies of one datagram.
-  // Sequence: a peer of another release, or no peer, writes to the port.
-  // Cause: offsets in the bytes were followed unchecked.
+TEST_CASE("decoding modified bytes never reads outside of their buffer") {
+  // A daemon of another version, or a program that is no daemon, writes to the
+  // port. If offsets in the bytes were followed unverified, one datagram could
+  // crash the daemon.
   bool Holds = rc::check([] {
     std::string Bytes = sampleProbe();
     auto Changes = *rc::gen::container<std::vector<std::pair<int, int>>>(
@@ -45,7 +44,7 @@
     for (auto [Place, Byte] : Changes)
       Bytes[static_cast<std::size_t>(Place)] = static_cast<char>(Byte);
     Bytes.resize(*rc::gen::inRange<std::size_t>(0, Bytes.size() + 1));
-    decodeMessage(Bytes); // Under a sanitizer or not, it must return.
+    decodeMessage(Bytes); // Must return, also under a sanitizer.
   });
   CHECK(Holds);
   CHECK_FALSE(decodeMessage("").has_value());
--- a/UnitTests/Connection/SpawnTest.cpp
+++ b/UnitTests/Connection/SpawnTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Coroutines that nobody waits for.
+/// Tests of detached coroutines.
 
 #include "Connection/Spawn.h"
 
@@ -14,10 +14,11 @@
 
 using namespace samphireshunt;
 
-TEST_CASE("an exception that leaves a coroutine is logged with its name") {
-  // Symptom: a daemon hears of no change any more, and says nothing.
-  // Sequence: the coroutine that follows the store is left by an exception.
-  // Cause: nobody waits for it, and what left it was dropped.
+TEST_CASE(
+    "an exception that escapes from a coroutine is logged with its name") {
+  // An exception escapes from the coroutine that follows the store. As nothing
+  // awaits a detached coroutine, the exception would be dropped, and the daemon
+  // would receive no more changes without any log line.
   tests::LogCapture Log;
   boost::asio::io_context Context;
   spawnLogged(Context, "some-watch", []() -> Awaitable<void> {
@@ -26,9 +27,9 @@
   });
   spawnLogged(Context, "calm", []() -> Awaitable<void> { co_return; });
   Context.run();
-  std::string Said = Log.text();
-  CHECK(Said.find("coroutine-failed") != std::string::npos);
-  CHECK(Said.find("some-watch") != std::string::npos);
-  CHECK(Said.find("what went wrong") != std::string::npos);
-  CHECK(Said.find("calm") == std::string::npos);
+  std::string Lines = Log.text();
+  CHECK(Lines.find("coroutine-failed") != std::string::npos);
+  CHECK(Lines.find("some-watch") != std::string::npos);
+  CHECK(Lines.find("what went wrong") != std::string::npos);
+  CHECK(Lines.find("calm") == std::string::npos);
 }
--- a/UnitTests/Programs/DaemonMainTest.cpp
+++ b/UnitTests/Programs/DaemonMainTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// What a daemon says when an exception ends it; the case ends a copy of this
-/// process.
+/// Test of the log line of a daemon that is ended by an exception; the test
+/// ends a fork of the test process.
 
 #include "Programs/DaemonMain.h"
 
@@ -18,7 +18,8 @@
 
 namespace {
 
-/// From now on no thread can be started: there is no room for so large a stack.
+/// Makes every later start of a thread fail, since there is no room for so
+/// large a stack.
 void refuseThreads() {
   constexpr std::size_t LargerThanMemory = std::size_t{1} << 47;
   pthread_attr_t Attributes;
@@ -45,7 +46,7 @@
 }
 
 /// \returns what \p Run writes to standard error.
-template <class Function> std::string saidBy(Function Run) {
+template <class Function> std::string stderrOf(Function Run) {
   std::array<int, 2> Pipe{};
   REQUIRE(pipe(Pipe.data()) == 0);
   pid_t Child = fork();
@@ -56,35 +57,35 @@
     _exit(0);
   }
   close(Pipe[1]);
-  std::string Said;
+  std::string Output;
   std::array<char, 1024> Space;
   for (ssize_t Count = 0;
        (Count = read(Pipe[0], Space.data(), Space.size())) > 0;)
-    Said.append(Space.data(), static_cast<std::size_t>(Count));
+    Output.append(Space.data(), static_cast<std::size_t>(Count));
   close(Pipe[0]);
   waitpid(Child, nullptr, 0);
-  return Said;
+  return Output;
 }
 
 } // namespace
 
-TEST_CASE("an exception that leaves the control thread says which and where") {
-  // Symptom: a daemon ends by itself; its last line says that there was no
-  // exception, or names one, but not where it came from.
-  // Sequence: a handler on the control thread throws; any will do, here the
-  // start of the other threads.
-  // Cause: the exception was caught in the program's main function. On its way
-  // there it destroyed the daemon, whose threads run: that ends the process,
-  // with the stack of the destructor.
-  std::string Said = saidBy([] {
-    // On a thread of its own, as the test's runner would catch it otherwise.
+TEST_CASE("an exception that escapes from the control thread is logged with "
+          "its origin") {
+  // A handler on the control thread throws; here, the start of the worker
+  // threads. If main() caught the exception, the daemon would be destroyed on
+  // the way there while its threads are running. That ends the process with the
+  // stack of the destructor, and the log line would contain no exception, or
+  // one without its origin.
+  std::string Output = stderrOf([] {
+    // Run on a separate thread, since the test runner would catch the exception
+    // on its own.
     std::thread Control([] {
       refuseThreads();
       runDaemon();
     });
     Control.join();
   });
-  CHECK(Said.find(R"("event":"ended-by-exception")") != std::string::npos);
-  CHECK(Said.find("no exception") == std::string::npos);
-  CHECK(Said.find("Daemon3run") != std::string::npos);
+  CHECK(Output.find(R"("event":"ended-by-exception")") != std::string::npos);
+  CHECK(Output.find("no exception") == std::string::npos);
+  CHECK(Output.find("Daemon3run") != std::string::npos);
 }
--- a/UnitTests/Programs/OutcomeReportTest.cpp
+++ b/UnitTests/Programs/OutcomeReportTest.cpp
@@ -32,27 +32,28 @@
 
 } // namespace
 
-TEST_CASE("parts add up to the whole, with the lines that were left out") {
-  auto Late = [](const std::string &Why) {
-    return R"("outcome":"answered","code":"0","dropped":"0","late":")" + Why +
-           "\"";
+TEST_CASE("the counts add up to the total, including dropped lines") {
+  auto LateFields = [](const std::string &Reason) {
+    return R"("outcome":"answered","code":"0","dropped":"0","late":")" +
+           Reason + "\"";
   };
-  OutcomeReport Report = reportOf(
-      endLine("08:29:05", InTime) + endLine("08:29:05", Refused) +
-      endLine("08:29:06", Late("first")) + endLine("08:29:06", Late("pause")) +
-      endLine("08:29:06", Late("attempt")) +
-      endLine("08:29:07", R"("outcome":"partial","code":"302")") +
-      endLine("08:29:07", R"("outcome":"unknown","code":"301")") +
-      endLine("08:29:07", R"("outcome":"not-run","code":"207")"));
+  OutcomeReport Report =
+      reportOf(endLine("08:29:05", InTime) + endLine("08:29:05", Refused) +
+               endLine("08:29:06", LateFields("first")) +
+               endLine("08:29:06", LateFields("pause")) +
+               endLine("08:29:06", LateFields("attempt")) +
+               endLine("08:29:07", R"("outcome":"partial","code":"302")") +
+               endLine("08:29:07", R"("outcome":"unknown","code":"301")") +
+               endLine("08:29:07", R"("outcome":"not-run","code":"207")"));
   CHECK(Report.total() == 15);
   CHECK(Report.leftOut() == 7);
   CHECK(Report.brokenLines() == 0);
   CHECK(Report.count(RequestFate::InTime) == 1);
   CHECK(Report.count(RequestFate::Refused) == 8);
-  for (RequestFate Once : {RequestFate::LateFirst, RequestFate::LatePause,
+  for (RequestFate Fate : {RequestFate::LateFirst, RequestFate::LatePause,
                            RequestFate::LateAttempt, RequestFate::Broken,
                            RequestFate::Failed, RequestFate::CallerLeft})
-    CHECK(Report.count(Once) == 1);
+    CHECK(Report.count(Fate) == 1);
   auto Json = Report.json();
   std::uint64_t ByKind = 0;
   for (const auto &Row : Json["kinds"])
@@ -63,24 +64,25 @@
   CHECK(Report.text().find("211 wait-too-long") != std::string::npos);
 }
 
-TEST_CASE("a log that was cut, and lines of other programs, spoil nothing") {
-  std::string Whole = endLine("08:29:05", InTime);
-  std::string Cut = Whole.substr(0, Whole.size() / 2) + "\n";
+TEST_CASE(
+    "truncated lines and lines of other programs don't affect the counts") {
+  std::string Complete = endLine("08:29:05", InTime);
+  std::string Truncated = Complete.substr(0, Complete.size() / 2) + "\n";
   OutcomeReport Report = reportOf(
-      "starting up {\n" + Whole + Cut +
+      "starting up {\n" + Complete + Truncated +
       R"({"time":"2026-06-17T08:29:05.200+00:00","event":"ended","outcome":7})"
       "\n" +
       R"({"time":"2026-06-17T08:29:05.200+00:00","event":"started")"
       "\n" +
       R"({"time":"x","event":"ended","outcome":"answered","code":"zero"})"
       "\n\n" +
-      "edge-1 7.25 " + Whole);
+      "edge-1 7.25 " + Complete);
   CHECK(Report.brokenLines() == 3);
   CHECK(Report.total() == 3);
   CHECK(Report.count(RequestFate::InTime) == 3);
 }
 
-TEST_CASE("the report's memory is bounded whatever the logs hold") {
+TEST_CASE("the report's memory is bounded whatever the logs contain") {
   std::string Logs;
   for (int Index = 0; Index < 5000; ++Index)
     Logs += endLine(
--- a/UnitTests/Programs/RequestStoryTest.cpp
+++ b/UnitTests/Programs/RequestStoryTest.cpp
@@ -18,15 +18,16 @@
 {"time":"2026-06-17T08:29:05.205+00:00","level":"info","vm":"vm-1","category":"request","event":"ended","request":"r-2","call":"c-2","code":"0"}
 )";
 
-RequestStory story(const std::string &Id) {
+RequestStory storyOf(const std::string &Id) {
   std::istringstream Stream(Logs);
   return readStory(Stream, Id, 10);
 }
 
 } // namespace
 
-TEST_CASE("a request is told in order, with what its daemons believed") {
-  auto Story = story("r-1");
+TEST_CASE("the lines of a request are in order, with the state changes of its "
+          "daemons") {
+  auto Story = storyOf("r-1");
   REQUIRE(Story.Found_);
   REQUIRE(Story.Lines_.size() == 3);
   CHECK(Story.Lines_[0].Event_ == "adopted");
@@ -37,7 +38,8 @@
   CHECK(Story.text().find("> vm-2") != std::string::npos);
 }
 
-TEST_CASE("the caller's own id finds it as well, and an unknown one nothing") {
-  CHECK(story("c-1").Lines_.size() == 2);
-  CHECK_FALSE(story("c-9").Found_);
+TEST_CASE("a request is also found by the caller's own id, but not by an "
+          "unknown one") {
+  CHECK(storyOf("c-1").Lines_.size() == 2);
+  CHECK_FALSE(storyOf("c-9").Found_);
 }
