--- a/Source/Connection/BackendConnections.h
+++ b/Source/Connection/BackendConnections.h
@@ -11,7 +11,7 @@
 
 namespace samphireshunt {
 
-/// Idle time up to which a pooled connection is known to work. A network
+/// Idle time up to which a pooled connection is assumed to work. A network
 /// element between the two ends may have lost the state of an idle connection;
 /// a request written to it then vanishes without an error. Requests that are
 /// safe to retry may use connections that have been idle for longer.
--- a/UnitTests/Connection/FrameChannelTest.cpp
+++ b/UnitTests/Connection/FrameChannelTest.cpp
@@ -134,10 +134,10 @@
 
 TEST_CASE("a pause of this process does not count as silence of the peer") {
   // A process that awaits something is not scheduled for longer than the
-  // silence timeout, before it has requested a heartbeat. If its own pause
-  // counted as silence of the peer, it would drop links to daemons that run and
-  // answer, and with them all awaited grants. This happened beside a large
-  // configuration.
+  // silence timeout, as can happen beside a large configuration, before it has
+  // requested a heartbeat. If its own pause counted as silence of the peer, it
+  // would drop links to daemons that run and answer, and with them all awaited
+  // grants.
   TwoEnds Test;
   // Messages arrive for some heartbeat periods, so no heartbeat is requested.
   auto Begin = steady_clock::now() + 3 * Test.Periods_.Heartbeat_;
