--- a/Source/Connection/HttpServer.cpp
+++ b/Source/Connection/HttpServer.cpp
@@ -206,9 +206,9 @@
   }
 
 private:
-  /// State of the read of a request. A timer whose handler is already queued
-  /// when it is cancelled would otherwise cancel the next operation of the
-  /// connection.
+  /// State of the read of a request. Without it, a timer whose handler is
+  /// already queued when the timer is cancelled would cancel the next operation
+  /// of the connection.
   enum class ReadState { Reading, TimedOut, Finished };
 
   template <class Buffers> Awaitable<bool> writeBuffers(const Buffers &Data) {
