--- a/Source/Programs/CtlMain.cpp
+++ b/Source/Programs/CtlMain.cpp
@@ -123,12 +123,12 @@
                [&](std::istream &File) { Logs << File.rdbuf(); });
   if (Status != ExitStatus::Ok)
     return Status;
-  RequestStory Story = readStory(Logs, Words[1], ContextSeconds);
-  if (!Story.Found_) {
+  RequestStory Timeline = readStory(Logs, Words[1], ContextSeconds);
+  if (!Timeline.Found_) {
     fmt::print(stderr, "the logs contain no line of request {}\n", Words[1]);
     return ExitStatus::NotFound;
   }
-  fmt::print("{}", Story.text());
+  fmt::print("{}", Timeline.text());
   return ExitStatus::Ok;
 }
 
--- a/Source/Programs/RequestStory.cpp
+++ b/Source/Programs/RequestStory.cpp
@@ -67,10 +67,10 @@
     if (auto Read = parseLine(Text, Id))
       All.push_back(std::move(*Read));
   auto IsOfRequest = [](const ReadLine &Read) { return Read.Line_.OfRequest_; };
-  RequestStory Story;
+  RequestStory Timeline;
   if (std::ranges::none_of(All, IsOfRequest))
-    return Story;
-  Story.Found_ = true;
+    return Timeline;
+  Timeline.Found_ = true;
   std::ranges::stable_sort(All, {}, &ReadLine::Seconds_);
   double First = std::ranges::find_if(All, IsOfRequest)->Seconds_;
   auto Last = std::find_if(All.rbegin(), All.rend(), IsOfRequest);
@@ -83,9 +83,9 @@
                          Read.Seconds_ <= Last->Seconds_;
     if (Read.Line_.OfRequest_ ||
         (WithinContext && Vms.contains(Read.Line_.Vm_)))
-      Story.Lines_.push_back(std::move(Read.Line_));
+      Timeline.Lines_.push_back(std::move(Read.Line_));
   }
-  return Story;
+  return Timeline;
 }
 
 } // namespace samphireshunt
--- a/UnitTests/Programs/RequestStoryTest.cpp
+++ b/UnitTests/Programs/RequestStoryTest.cpp
@@ -18,7 +18,7 @@
 {"time":"2026-06-17T08:29:05.205+00:00","level":"info","vm":"vm-1","category":"request","event":"ended","request":"r-2","call":"c-2","code":"0"}
 )";
 
-RequestStory storyOf(const std::string &Id) {
+RequestStory timelineOf(const std::string &Id) {
   std::istringstream Stream(Logs);
   return readStory(Stream, Id, 10);
 }
@@ -27,19 +27,19 @@
 
 TEST_CASE("the lines of a request are in order, with the state changes of its "
           "daemons") {
-  auto Story = storyOf("r-1");
-  REQUIRE(Story.Found_);
-  REQUIRE(Story.Lines_.size() == 3);
-  CHECK(Story.Lines_[0].Event_ == "adopted");
-  CHECK(Story.Lines_[0].Fields_ == " service=s version=3");
-  CHECK(Story.Lines_[1].Event_ == "refused");
-  CHECK(Story.Lines_[1].Vm_ == "vm-2");
-  CHECK(Story.Lines_[2].Event_ == "ended");
-  CHECK(Story.text().find("> vm-2") != std::string::npos);
+  auto Timeline = timelineOf("r-1");
+  REQUIRE(Timeline.Found_);
+  REQUIRE(Timeline.Lines_.size() == 3);
+  CHECK(Timeline.Lines_[0].Event_ == "adopted");
+  CHECK(Timeline.Lines_[0].Fields_ == " service=s version=3");
+  CHECK(Timeline.Lines_[1].Event_ == "refused");
+  CHECK(Timeline.Lines_[1].Vm_ == "vm-2");
+  CHECK(Timeline.Lines_[2].Event_ == "ended");
+  CHECK(Timeline.text().find("> vm-2") != std::string::npos);
 }
 
 TEST_CASE("a request is also found by the caller's own id, but not by an "
           "unknown one") {
-  CHECK(storyOf("c-1").Lines_.size() == 2);
-  CHECK_FALSE(storyOf("c-9").Found_);
+  CHECK(timelineOf("c-1").Lines_.size() == 2);
+  CHECK_FALSE(timelineOf("c-9").Found_);
 }
