--- a/Tools/mutations.sh
+++ b/Tools/mutations.sh
@@ -124,7 +124,7 @@
   's/return CallerServer_->activeExchanges\(\) == 0 && Quiet;/(void)Quiet;\n  return true;/' \
   ${F}LeavingTest '*graceful stop*'
 mutate look-before-stop $S/Programs/DaemonLife.cpp \
-  's/std::vector<asio::io_context \*> Turns\(LookTurns.*?lookThrough\(std::move\(Turns\)\);/onLookedAround();/s' \
+  's/std::vector<asio::io_context \*> Contexts\(FlushIterations.*?lookThrough\(std::move\(Contexts\)\);/onLookedAround();/s' \
   ${F}LeavingTest '*comes due while*'
 mutate version-order $S/Version/DocumentStore.cpp \
   's/Active->Version_ >= Source\.Version_/Active->Version_ == Source.Version_/' \
@@ -210,7 +210,7 @@
   's/LastHeard_ = Error \? LastHeard_ : steady_clock::now\(\);/LastHeard_ = Error || Target.size() > 0 ? LastHeard_ : steady_clock::now();/' \
   ${U}Connection '*long frame that comes slowly*'
 mutate sign-behind-frame $S/Connection/FrameChannel.cpp \
-  's/  send\(encodeMessage\(signOfLife\(\)\)\);\n\}/}/' \
+  's/  send\(encodeMessage\(heartbeatReply\(\)\)\);\n\}/}/' \
   ${U}Connection '*takes a long frame says so*'
 mutate queue-bound $S/Connection/FrameChannel.cpp \
   's/return closeOverfull\(\);/;/' \
@@ -225,7 +225,7 @@
   's/ \|\| stableHash\(\*Text\) != Hash_//' \
   ${U}Process '*not what it was named as*'
 mutate closed-at-end $S/Connection/HttpServer.cpp \
-  's/~ClosedAtEnd\(\) \{ Stream_\.close\(\); \}/~ClosedAtEnd() {}/' \
+  's/~ConnectionCloser\(\) \{ Stream_\.close\(\); \}/~ConnectionCloser() {}/' \
   ${U}Connection "*looks out for its caller's end closes*"
 mutate levels-of-body $S/Request/CallerService.cpp \
   's/TooDeep \|= Level > MaxNestingDepth;/TooDeep |= Level > 1000 * MaxNestingDepth * 1000;/' \
