--- a/Tools/mutations.sh
+++ b/Tools/mutations.sh
@@ -239,7 +239,7 @@
   's/ && !answerComes\(\)\)/)/' \
   ${U}platform '*whose answer is coming*'
 mutate answer-silence platform/Store.cpp \
-  's/Limits\{Timeout, Timeout_, Longest_\}/Limits{Timeout, Timeout_, Timeout_}/' \
+  's/Limits\{Timeout, Timeout_, MaxDuration_\}/Limits{Timeout, Timeout_, Timeout_}/' \
   ${U}platform '*over a slow link*'
 mutate soonest-lapse $S/Process/Configuration/StoreFollower.cpp \
   's/ &&\s+Freshness_\.age\(SentAt\) >= Options_\.LapseTime_\)/)/' \
