--- a/UnitTests/platform/FakeStore.cpp
+++ b/UnitTests/platform/FakeStore.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-std::string base64(const std::string &Bytes) {
+std::string encodeBase64(const std::string &Bytes) {
   std::string Text(Bytes.size() * 4 / 3 + 8, '\0');
   int Length =
       EVP_EncodeBlock(reinterpret_cast<unsigned char *>(Text.data()),
@@ -28,7 +28,7 @@
   return Text;
 }
 
-std::string unbase64(const std::string &Text) {
+std::string decodeBase64(const std::string &Text) {
   std::string Bytes(Text.size(), '\0');
   int Length =
       EVP_DecodeBlock(reinterpret_cast<unsigned char *>(Bytes.data()),
@@ -89,7 +89,7 @@
 
 Json FakeStore::itemOf(const std::string &Key, const Item &Stored) const {
   return {{"key", Key},
-          {"value", base64(Stored.Value_)},
+          {"value", encodeBase64(Stored.Value_)},
           {"revision", Stored.Revision_},
           {"created", Stored.Revision_},
           {"lease", 0}};
@@ -239,7 +239,7 @@
   }
   for (const Json &Row : Body["puts"])
     put(Row["key"].get<std::string>(),
-        unbase64(Row["value"].get<std::string>()));
+        decodeBase64(Row["value"].get<std::string>()));
   for (const Json &Key : Body["remove"])
     remove(Key.get<std::string>());
   return jsonResponse(200, Json{{"revision", Revision_}}.dump());
--- a/UnitTests/platform/FakeStore.h
+++ b/UnitTests/platform/FakeStore.h
@@ -1,7 +1,7 @@
 #pragma once
 /// \file
-/// The platform's metadata store, written anew over its published protocol, in
-/// the test's own thread, with faults.
+/// A fake of the platform's metadata store. It implements the published
+/// protocol, runs in the test's thread and can be told to misbehave.
 
 #include "Connection/Http.h"
 
@@ -19,39 +19,41 @@
   explicit FakeStore(boost::asio::io_context &Context);
 
   Endpoint address() const { return Server_->address(); }
-  /// Writes as operators and servers do, past the protocol.
+  /// Writes directly, without a request, as operators and servers would.
   void put(const std::string &Key, const std::string &Value);
   void remove(const std::string &Key);
-  /// The value of a key; empty when it does not exist.
+  /// \returns the value of a key, empty if it does not exist.
   std::string get(const std::string &Key) const;
-  /// Keeps a copy of everything as it is now.
+  /// Takes a backup of the current state; it replaces an earlier one.
   void takeCopy() { Copy_ = State{Items_, Changes_, Revision_}; }
-  /// Comes back from the copy, in the next era: what was written since is gone,
-  /// and its revisions are given out again. Calls that wait are cut.
+  /// Restores the backup and enters the next era. Later writes are lost and
+  /// their revisions are assigned again. Pending calls are aborted.
   void restoreCopy();
-  /// Forgets all changes so far.
+  /// Drops the history of all changes so far, so that watches cannot read it.
   void dropHistory() { HistoryFrom_ = Revision_; }
   std::size_t calls(const std::string &Path) const;
-  /// Of the bodies of all answers so far.
+  /// The total size of the bodies of all responses so far.
   std::size_t bytesSent() const { return BytesSent_; }
 
-  /// Answers every call with this status; 0: answers properly.
+  /// If not 0, every call gets this status.
   int FailWith_ = 0;
-  /// Answers every call with this body; empty: answers properly.
+  /// If not empty, every call gets this body.
   std::string AnswerWith_;
-  /// Takes calls and never answers.
+  /// Accepts calls and does not answer them.
   bool Silent_ = false;
-  /// Watches that wait while this is set hear nothing and, when their time is
-  /// up, tell the newest revision without the changes up to it.
+  /// Watches that are pending while this is set report no changes. When their
+  /// time is up, they return the newest revision without the changes up to it.
   bool DeafWatches_ = false;
-  /// This many writes are done and not answered.
+  /// This many writes are applied without an answer.
   int LoseWriteAnswers_ = 0;
   std::size_t PageSize_ = 500;
-  /// Told in all answers; empty: the field is left out.
+  /// Sent as the store era in all responses. If empty, the header is omitted.
   std::string Era_;
-  /// Called before each answer of a list, with the number of its page.
+  /// Called before a page of a list is read: with 0 for the first page and 1
+  /// for all later ones.
   std::function<void(std::size_t)> BeforePage_ = [](std::size_t) {};
-  /// What the link to the store carries, all answers together; 0: no limit.
+  /// The bandwidth of the store's link, shared by all responses; 0 for no
+  /// limit.
   std::size_t BytesPerSecond_ = 0;
 
 private:
@@ -73,7 +75,7 @@
 
   Awaitable<void> handle(HttpExchange &Exchange);
   Awaitable<void> send(HttpExchange &Exchange, HttpResponse Answer);
-  /// Returns when the link has carried \p Bytes more.
+  /// Waits until the link has transmitted \p Bytes more.
   Awaitable<void> carry(std::size_t Bytes);
   Awaitable<void> sleep(std::chrono::steady_clock::duration Time);
   Awaitable<void> sleepWhileSilent();
@@ -89,16 +91,17 @@
   std::vector<Change> Changes_;
   std::map<std::string, std::size_t> Calls_;
   std::size_t BytesSent_ = 0;
-  /// When all that was given to the link so far is through.
+  /// When the link has transmitted all data that it was given so far.
   std::chrono::steady_clock::time_point LinkFreeAt_;
   std::uint64_t Revision_ = 1;
   std::uint64_t HistoryFrom_ = 0;
   State Copy_;
-  /// Of all times that it came back; calls that began before are cut.
+  /// The number of restores. Calls that began before the last one are aborted.
   std::uint64_t Restores_ = 0;
 };
 
-/// Runs \p Context until \p Done, some seconds at the most.
+/// Runs \p Context until \p Done returns true, for 10 seconds at most. \returns
+/// the last result of \p Done.
 bool runUntil(boost::asio::io_context &Context,
               const std::function<bool()> &Done);
 void runFor(boost::asio::io_context &Context, std::chrono::milliseconds Time);
--- a/UnitTests/platform/FollowerFleet.h
+++ b/UnitTests/platform/FollowerFleet.h
@@ -1,7 +1,7 @@
 #pragma once
 /// \file
-/// Daemons that read the platform's store or follow one that does, in one
-/// thread; messages between them are handed over, delayed or lost by the test.
+/// Daemons in a single thread that read the platform's store or follow a daemon
+/// that does. The fixture delivers, delays or drops the messages between them.
 
 #include "UnitTests/platform/StoreDaemon.h"
 #include "UnitTests/platform/StoreEntries.h"
@@ -28,7 +28,8 @@
 inline constexpr milliseconds RegisterAgain{150};
 inline constexpr milliseconds Lapse{800};
 
-/// One of a given size, of digits that no packing makes small.
+/// A configuration of about \p Size bytes that consists of pseudo-random
+/// digits, so that compression cannot make it small.
 inline std::string largeConfiguration(int Version, std::size_t Size) {
   std::string Digits;
   std::uint32_t Next = 1;
@@ -41,10 +42,9 @@
   return Text;
 }
 
-/// One daemon's part of all this, with times of a test. Messages between
-/// daemons are handed over by the fixture. With a \p Slowdown its questions
-/// take so many times as long, so that a pause of the test's own process
-/// changes nothing.
+/// A daemon of the fleet with short times for tests. The fixture delivers the
+/// messages between daemons. \p Slowdown multiplies the times and timeouts of
+/// its requests, so that a pause of the test's process has no effect.
 class FollowingDaemon : public StoreDaemon {
 public:
   FollowingDaemon(boost::asio::io_context &Context, FakeStore &Store,
@@ -64,7 +64,7 @@
     return Service_->paused() && Peers_->reader() == VmId(Reader);
   }
 
-  /// Whom it may follow; a test may change its mind.
+  /// The role and the readers that the daemon may follow. Tests may change it.
   ReaderChoice Choice_;
 
 private:
@@ -101,11 +101,12 @@
   }
 };
 
-/// Three readers, each with a store of its own that tells the same, so that one
-/// may lose it alone; and a daemon that follows them.
+/// Three readers and a daemon, "spare", that follows them. Each has its own
+/// store with the same content, so that a single daemon can lose its store.
 class Fleet {
 public:
-  /// \p Small: all read the store, and "spare" follows only without it.
+  /// If \p Small is set, all daemons read the store, and "spare" follows
+  /// another one only when it has lost its store.
   explicit Fleet(bool Small = false, int Slowdown = 1) : Slowdown_(Slowdown) {
     put("op/config", configuration(3));
     put("servers/i-1", serverEntry("ready"));
@@ -116,7 +117,7 @@
                     {VmId("first"), VmId("second")}};
     startSpare();
   }
-  /// Starts the daemon that follows, maybe once more.
+  /// Starts or restarts the daemon "spare".
   void startSpare() {
     if (Daemons_.contains("spare"))
       Daemons_["spare"]->Service_->stop();
@@ -126,7 +127,7 @@
   void put(const std::string &Key, const std::string &Value) {
     forAllStores([&](FakeStore &Store) { Store.put(Key, Value); });
   }
-  /// Servers i-0 and so on.
+  /// Writes the servers i-0 to i-(\p Count - 1).
   void putServers(std::size_t Count) {
     for (std::size_t Index = 0; Index < Count; ++Index)
       put(fmt::format("servers/i-{}", Index), serverEntry("ready"));
@@ -145,8 +146,9 @@
       Do(*Store);
     Do(SpareStore_);
   }
-  /// The readers have a version whose text does not come to the follower, which
-  /// has lost the store. \returns whether they have it.
+  /// Writes a large configuration that the readers get while the follower's
+  /// store fails and the text sent to it is dropped. \returns whether the
+  /// reader "first" has the version.
   bool loseTextOf(int Version) {
     constexpr std::size_t Size = 100000;
     SpareStore_.FailWith_ = 503;
@@ -172,30 +174,33 @@
   boost::asio::io_context Context_;
   FakeStore SpareStore_{Context_};
   std::map<std::string, std::unique_ptr<FakeStore>> Stores_ = makeStores();
-  /// Daemons that neither hear nor answer others.
+  /// Daemons whose messages are dropped in both directions.
   std::set<std::string> Frozen_;
-  /// The next so many messages that readers send by themselves are lost.
+  /// The number of messages that are still to be dropped of those that readers
+  /// send without a request.
   int LosePushes_ = 0;
-  /// Parts of a text that daemons send are lost while this is set.
+  /// While this is set, the chunks of texts that daemons send are dropped.
   bool LoseParts_ = false;
-  /// This many parts come with a wrong byte.
+  /// The number of chunks that are still to be delivered with a wrong byte.
   int SpoilParts_ = 0;
+  /// The number of chunks delivered so far.
   int Parts_ = 0;
-  /// What the last text of which a part came takes in all.
+  /// The packed size of the whole text to which the last chunk belongs.
   std::size_t PackedSize_ = 0;
-  /// Questions that asked for texts apart.
+  /// The number of follow requests that ask for separate texts.
   int AskedApart_ = 0;
-  /// One of the two is of an earlier version, which knows nothing of texts that
-  /// are told apart.
+  /// Simulates that one of the two daemons is of an earlier software version
+  /// that does not know separate texts.
   bool Mixed_ = false;
-  /// The longest message that a daemon has sent to another.
+  /// The size of the longest message between daemons.
   std::size_t LongestMessage_ = 0;
-  /// What a daemon's link carries in a millisecond; the others' carry all.
+  /// The bandwidth of a daemon's link in bytes per millisecond. Links of
+  /// daemons that are not listed are unlimited.
   std::map<std::string, std::size_t> BytesPerMs_;
-  /// What each daemon has sent, in bytes.
+  /// The number of bytes that each daemon has sent.
   std::map<std::string, std::size_t> Sent_;
   std::map<std::string, std::unique_ptr<FollowingDaemon>> Daemons_;
-  /// Their calls may still be under way.
+  /// Stopped daemons, retained because their calls may still be pending.
   std::vector<std::unique_ptr<FollowingDaemon>> Retired_;
   ReaderChoice SpareChoice_;
 
@@ -223,11 +228,12 @@
     auto Deliver = [this, From, To, Message] {
       deliver(From, To.str(), Message);
     };
-    if (auto Slow = BytesPerMs_.find(From); Slow != BytesPerMs_.end())
-      return carry(LinkFree_[From], Message.size() / Slow->second, Deliver);
+    if (auto Limited = BytesPerMs_.find(From); Limited != BytesPerMs_.end())
+      return carry(LinkFree_[From], Message.size() / Limited->second, Deliver);
     boost::asio::post(Context_, Deliver);
   }
-  /// A message waits for those that its sender's link still carries.
+  /// Delays a message until the sender's link has transmitted the earlier ones
+  /// and this one.
   void carry(std::chrono::steady_clock::time_point &Free, std::size_t TakesMs,
              const std::function<void()> &Deliver) {
     Free = std::max(Free, std::chrono::steady_clock::now());
@@ -243,21 +249,21 @@
     LongestMessage_ = std::max(LongestMessage_, Message.size());
     auto Decoded = decodeMessage(Message).value();
     PeerFollower &Peers = *Daemons_.at(To)->Peers_;
-    if (auto *Asked = Decoded.body.AsFollow()) {
-      Asked->text_apart = Asked->text_apart && !Mixed_;
-      AskedApart_ += Asked->text_apart ? 1 : 0;
-      return Peers.onFollow(VmId(From), *Asked);
+    if (auto *Request = Decoded.body.AsFollow()) {
+      Request->text_apart = Request->text_apart && !Mixed_;
+      AskedApart_ += Request->text_apart ? 1 : 0;
+      return Peers.onFollow(VmId(From), *Request);
     }
     if (const auto *Text = Decoded.body.AsTextAsk())
       return Peers.onTextAsk(VmId(From), *Text);
     if (auto *Part = Decoded.body.AsTextPart())
       return deliverPart(From, Peers, *Part);
-    const auto *Told = Decoded.body.AsState();
-    if (Told->sequence == 0 && LosePushes_ > 0) {
+    const auto *Answer = Decoded.body.AsState();
+    if (Answer->sequence == 0 && LosePushes_ > 0) {
       --LosePushes_;
       return;
     }
-    Peers.onState(VmId(From), *Told);
+    Peers.onState(VmId(From), *Answer);
   }
   void deliverPart(const std::string &From, PeerFollower &Peers,
                    wire::TextPartT &Part) {
@@ -272,12 +278,12 @@
     Peers.onTextPart(VmId(From), Part);
   }
 
-  /// When a daemon's link has carried all that it was given.
+  /// When each daemon's link has transmitted all messages that it was given.
   std::map<std::string, std::chrono::steady_clock::time_point> LinkFree_;
 };
 
-/// A daemon that follows one of two readers. These answer at once; only the
-/// daemon itself is ever paused.
+/// A daemon that follows one of two simulated readers. The readers always
+/// answer at once; only the daemon itself can be paused.
 class LoneFollower {
 public:
   LoneFollower() {
@@ -299,27 +305,28 @@
 
   boost::asio::io_context Context_;
   FakeStore Store_{Context_};
-  /// For so long the daemon is not let run when the next answer has come.
+  /// How long the daemon is blocked after the next answer has arrived.
   milliseconds NextPause_{0};
-  /// How often each reader was asked.
+  /// The number of requests that each reader got.
   std::map<std::string, int> Questions_;
   std::unique_ptr<FollowingDaemon> Self_;
 
 private:
-  /// A frame is read in two steps: its length, then its bytes.
+  /// Delivers an answer over several event-loop iterations, as a connection
+  /// reads a frame in two steps: its length, then its bytes.
   void answer(const VmId &From, std::uint32_t Sequence) {
     boost::asio::post(Context_, [this, From, Sequence] {
       std::this_thread::sleep_for(std::exchange(NextPause_, milliseconds(0)));
       boost::asio::post(Context_, [this, From, Sequence] {
         boost::asio::post(Context_, [this, From, Sequence] {
-          wire::StateT Told;
-          Told.sequence = Sequence;
-          Told.incarnation = 1;
-          Told.number = 1;
-          Told.revision = 1000;
-          Told.complete = true;
-          Told.reads_service = true;
-          Self_->Peers_->onState(From, Told);
+          wire::StateT Answer;
+          Answer.sequence = Sequence;
+          Answer.incarnation = 1;
+          Answer.number = 1;
+          Answer.revision = 1000;
+          Answer.complete = true;
+          Answer.reads_service = true;
+          Self_->Peers_->onState(From, Answer);
         });
       });
     });
--- a/UnitTests/platform/StoreDaemon.h
+++ b/UnitTests/platform/StoreDaemon.h
@@ -1,7 +1,8 @@
 #pragma once
 /// \file
-/// What a daemon has to do with the platform's store, alone or through another
-/// daemon, put together as in the process; for tests and measurements.
+/// The parts of a daemon that follow the platform's store, directly or through
+/// another daemon, assembled as in the daemon's process. Used by tests and
+/// benchmarks.
 
 #include "Process/Configuration/PeerFollower.h"
 
--- a/UnitTests/platform/StoreEntries.h
+++ b/UnitTests/platform/StoreEntries.h
@@ -1,6 +1,6 @@
 #pragma once
 /// \file
-/// What operators and engines write into the platform's store, for tests.
+/// Values that operators and engines write to the platform's store, for tests.
 
 #include "Version/DocumentStore.h"
 
@@ -20,6 +20,7 @@
                      Index);
 }
 
+/// A configuration with \p Routes routes.
 inline std::string configuration(int Version, std::size_t Routes = 0) {
   std::vector<std::string> All;
   for (std::size_t Index = 0; Index < Routes; ++Index)
@@ -29,7 +30,8 @@
                      Version, fmt::join(All, ","));
 }
 
-/// An engine of the service "s"; \p Port tells several apart.
+/// The directory entry of an engine of the service "s"; \p Port distinguishes
+/// several engines.
 inline std::string serverEntry(const std::string &State, int Port = 80) {
   return fmt::format(R"({{"service":"s","address":"10.0.0.1:{}","zone":"z",
                          "state":"{}","batch-size":2,"version":"v1",
