--- a/UnitTests/platform/StoreEraModelTest.cpp
+++ b/UnitTests/platform/StoreEraModelTest.cpp
@@ -1,7 +1,8 @@
 /// \file
-/// A model check: a store that comes back from copies, an operator, an engine
-/// that registers, leaves and starts again, two daemons that read the store and
-/// one that follows them. All orders of what may happen, to a depth.
+/// A model check of a store that is restored from backups. The model has an
+/// operator, an engine that registers, leaves and restarts, two daemons that
+/// read the store and one that follows them. All sequences of steps are tried
+/// up to a given depth.
 
 #include "Process/Configuration/StoreView.h"
 
@@ -24,21 +25,24 @@
 const ServiceName Service("platform");
 const PoolName ThePool("s");
 const ServerName Engine("i-1");
-constexpr seconds RegisterAgain{2};
-constexpr seconds Lapse{6};
-constexpr std::uint64_t MostVersions = 3;
-constexpr std::uint64_t MostCopies = 2;
-constexpr std::uint64_t MostLives = 2;
+constexpr seconds RegistrationInterval{2};
+constexpr seconds ExpiryTime{6};
+constexpr std::uint64_t MaxVersions = 3;
+constexpr std::uint64_t MaxRestores = 2;
+constexpr std::uint64_t MaxIncarnations = 2;
 constexpr std::uint16_t FirstPort = 8000;
-/// Steps after a beginning; MODEL_DEPTH asks for more.
+/// The number of steps tried after each prefix. The environment variable
+/// MODEL_DEPTH overrides it.
 constexpr std::size_t Depth = 4;
 
-/// The engine's entry; each life of it has a port of its own.
+/// The engine's directory entry. Each incarnation has a port of its own.
 struct EngineEntry {
-  std::uint64_t Life_ = 0;
+  std::uint64_t Incarnation_ = 0;
   bool Leaving_ = false;
 
-  std::string text() const { return fmt::format("{} {}", Life_, Leaving_); }
+  std::string text() const {
+    return fmt::format("{} {}", Incarnation_, Leaving_);
+  }
 };
 
 Result<ReadConfiguration> readVersion(const std::string &Value) {
@@ -52,24 +56,24 @@
                            std::move(Read)};
 }
 
-StoreLayout layout(bool TellsIncarnation) {
+StoreLayout layout(bool HasIncarnation) {
   StoreLayout Built;
   Built.Service_ = Service;
   Built.ConfigurationKey_ = "config";
   Built.ServerPrefix_ = "servers/";
   Built.DaemonPrefix_ = "daemons/";
   Built.ReadConfiguration_ = readVersion;
-  Built.ReadServer_ = [TellsIncarnation](const std::string &Name,
-                                         const std::string &Value) {
-    std::uint64_t Life = std::stoull(Value);
+  Built.ReadServer_ = [HasIncarnation](const std::string &Name,
+                                       const std::string &Value) {
+    std::uint64_t Number = std::stoull(Value);
     RegisteredServer Read;
     Read.Pool_ = ThePool;
     Read.Server_.Name_ = ServerName(Name);
     Read.Server_.Address_ = {boost::asio::ip::address_v4::loopback(),
-                             static_cast<std::uint16_t>(FirstPort + Life)};
+                             static_cast<std::uint16_t>(FirstPort + Number)};
     Read.Server_.Leaving_ = Value.ends_with("true");
-    if (TellsIncarnation)
-      Read.Server_.Incarnation_ = Incarnation(Life);
+    if (HasIncarnation)
+      Read.Server_.Incarnation_ = Incarnation(Number);
     return Result<RegisteredServer>(std::move(Read));
   };
   return Built;
@@ -88,10 +92,10 @@
     auto Found = Now_.Items_.find(Key);
     return Found != Now_.Items_.end() && Found->second.Value_ == Value;
   }
-  void copy() { Copy_ = Now_; }
-  bool hasCopy() const { return Copy_.has_value(); }
+  void takeBackup() { Backup_ = Now_; }
+  bool hasBackup() const { return Backup_.has_value(); }
   void restore() {
-    Now_ = *Copy_;
+    Now_ = *Backup_;
     ++Era_;
     for (auto &[Key, Item] : Now_.Items_)
       Item.Position_.Era_ = StoreEra(Era_);
@@ -113,35 +117,38 @@
   StorePosition next() { return {StoreEra(Era_), Revision(++Now_.Revision_)}; }
 
   State Now_;
-  std::optional<State> Copy_;
+  std::optional<State> Backup_;
   std::uint64_t Era_ = 0;
 };
 
-/// One daemon's belief, as long as its process lives.
+/// The state of one daemon's process.
 class ModelDaemon {
 public:
-  ModelDaemon(const BootTime &Now, bool TellsIncarnation)
-      : View_(Documents_, layout(TellsIncarnation), {RegisterAgain, Lapse}) {
+  ModelDaemon(const BootTime &Now, bool HasIncarnation)
+      : View_(Documents_, layout(HasIncarnation),
+              {RegistrationInterval, ExpiryTime}) {
     StoreView::Hooks Hooks;
     Hooks.DaemonSeen_ = [](const VmId &, const KeyValue &) {};
     Hooks.Changed_ = [] {};
     Hooks.Now_ = [&Now] { return Now; };
     View_.setHooks(std::move(Hooks));
   }
-  void take(const KeyValueList &All, BootTime Asked) {
+  /// Applies a list of the whole store that was requested at \p RequestedAt.
+  void applyList(const KeyValueList &All, BootTime RequestedAt) {
     if (!View_.reached(All.Position_))
       return;
     View_.listed(All);
     View_.publish();
-    ReachedAt_ = Asked;
-    View_.heardAt(Asked);
+    ReachedAt_ = RequestedAt;
+    View_.heardAt(RequestedAt);
   }
-  void hear(const ModelDaemon &Reader) {
-    ChangeLog::Changes Told = Reader.View_.told(0, "config");
+  /// Applies everything that \p Reader would send to a follower.
+  void followOnce(const ModelDaemon &Reader) {
+    ChangeLog::Changes Changes = Reader.View_.told(0, "config");
     Revision EraFirst;
     if (Reader.View_.eraStart())
       EraFirst = Reader.View_.eraStart()->First_.Revision_;
-    if (!View_.follow(Told, Reader.View_.position(), EraFirst))
+    if (!View_.follow(Changes, Reader.View_.position(), EraFirst))
       return;
     takeVersionOf(Reader);
     View_.heardAt(Reader.ReachedAt_);
@@ -151,8 +158,8 @@
     if (Other.View_.version() > View_.version())
       CHECK(View_.takeText(Other.View_.version(), Text));
   }
-  /// The engine's life that may get work; 0: none.
-  std::uint64_t activeLife() const {
+  /// \returns the engine's incarnation that may get work, 0 if none may.
+  std::uint64_t activeIncarnation() const {
     auto Snapshot = Documents_.snapshot();
     const auto *Found = Snapshot->activeServer(Service, ThePool, Engine);
     return Found ? Found->Address_.port() - FirstPort : 0;
@@ -161,7 +168,7 @@
   DocumentStore Documents_;
   StoreView View_;
   BootTime ReachedAt_;
-  /// Lives of the engine whose leaving was heard of here.
+  /// The engine's incarnations that this daemon saw leave.
   std::set<std::uint64_t> Departed_;
   std::uint64_t LastActive_ = 0;
   DocumentVersion LastVersion_;
@@ -169,11 +176,11 @@
 
 enum class Step {
   OperatorWrites,
-  EngineGoesOn,
-  Copy,
+  EngineAdvances,
+  TakeBackup,
   Restore,
-  FirstAsks,
-  FirstHears,
+  FirstRequests,
+  FirstReceives,
   SecondReads,
   FollowsFirst,
   FollowsSecond,
@@ -181,67 +188,70 @@
   TimePasses
 };
 constexpr std::array AllSteps = {
-    Step::OperatorWrites, Step::EngineGoesOn, Step::Copy,
-    Step::Restore,        Step::FirstAsks,    Step::FirstHears,
-    Step::SecondReads,    Step::FollowsFirst, Step::FollowsSecond,
+    Step::OperatorWrites, Step::EngineAdvances, Step::TakeBackup,
+    Step::Restore,        Step::FirstRequests,  Step::FirstReceives,
+    Step::SecondReads,    Step::FollowsFirst,   Step::FollowsSecond,
     Step::FirstRestarts,  Step::TimePasses};
 
 class World {
 public:
-  explicit World(bool TellsIncarnation) : TellsIncarnation_(TellsIncarnation) {
+  explicit World(bool HasIncarnation) : HasIncarnation_(HasIncarnation) {
     writeVersion();
-    engineGoesOn();
-    for (auto &Made : Daemons_)
-      Made = start();
-    Daemons_[0]->take(Store_.list(), Now_);
-    Daemons_[1]->take(Store_.list(), Now_);
-    Daemons_[2]->hear(*Daemons_[0]);
-    note();
+    advanceEngine();
+    for (auto &Daemon : Daemons_)
+      Daemon = start();
+    Daemons_[0]->applyList(Store_.list(), Now_);
+    Daemons_[1]->applyList(Store_.list(), Now_);
+    Daemons_[2]->followOnce(*Daemons_[0]);
+    recordOutcome();
   }
 
-  /// \returns false when the step can't be done, or would change nothing.
+  /// \returns false if the step is impossible or would change nothing.
   bool run(Step Next) {
     bool Done = apply(Next);
-    note();
+    recordOutcome();
     return Done;
   }
-  /// What is promised does not hold.
+  /// \returns whether a daemon's version fell or a departed incarnation of the
+  /// engine got work again.
   bool broken() const { return Broken_; }
 
-  /// Everybody writes, reads and hears again.
-  bool convergesInCalm() {
+  /// Lets all parties write, read and follow once more without faults. \returns
+  /// whether all daemons then have the newest version and the same engine.
+  bool convergesWithoutFaults() {
     for (int Round = 0; Round < 2; ++Round) {
       passTime();
-      Daemons_[0]->take(Store_.list(), Now_);
-      Daemons_[1]->take(Store_.list(), Now_);
-      Daemons_[2]->hear(*Daemons_[1]);
-      Daemons_[2]->hear(*Daemons_[0]);
-      note();
+      Daemons_[0]->applyList(Store_.list(), Now_);
+      Daemons_[1]->applyList(Store_.list(), Now_);
+      Daemons_[2]->followOnce(*Daemons_[1]);
+      Daemons_[2]->followOnce(*Daemons_[0]);
+      recordOutcome();
     }
-    std::uint64_t Expected = Truth_.Leaving_ || Gone_ ? 0 : Truth_.Life_;
+    std::uint64_t Expected =
+        Engine_.Leaving_ || Gone_ ? 0 : Engine_.Incarnation_;
     return std::ranges::all_of(Daemons_, [&](const auto &Daemon) {
       return Daemon->View_.version() == DocumentVersion(Version_) &&
-             Daemon->activeLife() == Expected;
+             Daemon->activeIncarnation() == Expected;
     });
   }
 
 private:
   std::unique_ptr<ModelDaemon> start() const {
-    return std::make_unique<ModelDaemon>(Now_, TellsIncarnation_);
+    return std::make_unique<ModelDaemon>(Now_, HasIncarnation_);
   }
   void writeVersion() { Store_.write("config", std::to_string(++Version_)); }
-  void writeEngine() { Store_.write("servers/i-1", Truth_.text()); }
+  void writeEngine() { Store_.write("servers/i-1", Engine_.text()); }
 
-  /// It registers, leaves, is gone, and starts again.
-  bool engineGoesOn() {
-    if (Truth_.Life_ == 0 || Gone_) {
-      if (Truth_.Life_ == MostLives)
+  /// Moves the engine to its next state: registered, leaving, gone, restarted.
+  bool advanceEngine() {
+    if (Engine_.Incarnation_ == 0 || Gone_) {
+      if (Engine_.Incarnation_ == MaxIncarnations)
         return false;
-      Truth_ = {Truth_.Life_ + 1, false};
+      Engine_ = {Engine_.Incarnation_ + 1, false};
       Gone_ = false;
       writeEngine();
-    } else if (!Truth_.Leaving_) {
-      Truth_.Leaving_ = true;
+    } else if (!Engine_.Leaving_) {
+      Engine_.Leaving_ = true;
       writeEngine();
     } else {
       Gone_ = true;
@@ -250,23 +260,24 @@
     return true;
   }
 
-  /// Operator and engine have written theirs again, silent entries lapsed.
+  /// Lets so much time pass that operator and engine have written their entries
+  /// again and entries that are not written again have expired.
   void passTime() {
-    Now_ += Lapse;
+    Now_ += ExpiryTime;
     if (!Store_.holds("config", std::to_string(Version_)))
       Store_.write("config", std::to_string(Version_));
     if (Gone_)
       Store_.remove("servers/i-1");
-    else if (!Store_.holds("servers/i-1", Truth_.text()))
+    else if (!Store_.holds("servers/i-1", Engine_.text()))
       writeEngine();
     for (auto &Daemon : Daemons_)
       Daemon->View_.dropUnseen();
   }
 
   void restartFirst() {
-    Asked_.reset();
+    PendingAnswer_.reset();
     Daemons_[0] = start();
-    Daemons_[0]->take(Store_.list(), Now_);
+    Daemons_[0]->applyList(Store_.list(), Now_);
     Daemons_[0]->takeVersionOf(*Daemons_[1]);
     Daemons_[0]->takeVersionOf(*Daemons_[2]);
   }
@@ -274,37 +285,38 @@
   bool apply(Step Next) {
     switch (Next) {
     case Step::OperatorWrites:
-      if (Version_ == MostVersions)
+      if (Version_ == MaxVersions)
         return false;
       writeVersion();
       return true;
-    case Step::EngineGoesOn:
-      return engineGoesOn();
-    case Step::Copy:
-      Store_.copy();
+    case Step::EngineAdvances:
+      return advanceEngine();
+    case Step::TakeBackup:
+      Store_.takeBackup();
       return true;
     case Step::Restore:
-      if (!Store_.hasCopy() || Store_.era() == MostCopies)
+      if (!Store_.hasBackup() || Store_.era() == MaxRestores)
         return false;
       Store_.restore();
       return true;
-    case Step::FirstAsks:
-      Asked_ = {Store_.list(), Now_};
+    case Step::FirstRequests:
+      PendingAnswer_ = {Store_.list(), Now_};
       return true;
-    case Step::FirstHears:
-      if (!Asked_)
+    case Step::FirstReceives:
+      if (!PendingAnswer_)
         return false;
-      Daemons_[0]->take(Asked_->List_, Asked_->At_);
-      Asked_.reset();
+      Daemons_[0]->applyList(PendingAnswer_->List_,
+                             PendingAnswer_->RequestedAt_);
+      PendingAnswer_.reset();
       return true;
     case Step::SecondReads:
-      Daemons_[1]->take(Store_.list(), Now_);
+      Daemons_[1]->applyList(Store_.list(), Now_);
       return true;
     case Step::FollowsFirst:
-      Daemons_[2]->hear(*Daemons_[0]);
+      Daemons_[2]->followOnce(*Daemons_[0]);
       return true;
     case Step::FollowsSecond:
-      Daemons_[2]->hear(*Daemons_[1]);
+      Daemons_[2]->followOnce(*Daemons_[1]);
       return true;
     case Step::FirstRestarts:
       restartFirst();
@@ -316,14 +328,15 @@
     return false;
   }
 
-  void note() {
+  void recordOutcome() {
     for (auto &Daemon : Daemons_) {
       Broken_ |= Daemon->View_.version() < Daemon->LastVersion_;
       Daemon->LastVersion_ = Daemon->View_.version();
-      std::uint64_t Active = Daemon->activeLife();
+      std::uint64_t Active = Daemon->activeIncarnation();
       std::uint64_t Before = std::exchange(Daemon->LastActive_, Active);
-      bool HasLeft = Before < Truth_.Life_ ||
-                     (Before == Truth_.Life_ && (Truth_.Leaving_ || Gone_));
+      bool HasLeft =
+          Before < Engine_.Incarnation_ ||
+          (Before == Engine_.Incarnation_ && (Engine_.Leaving_ || Gone_));
       if (Before != 0 && Active != Before && HasLeft)
         Daemon->Departed_.insert(Before);
       Broken_ |= Daemon->Departed_.contains(Active);
@@ -332,17 +345,17 @@
 
   struct Answer {
     KeyValueList List_;
-    BootTime At_;
+    BootTime RequestedAt_;
   };
 
-  bool TellsIncarnation_;
+  bool HasIncarnation_;
   BootTime Now_{seconds(1000)};
   ModelStore Store_;
   std::uint64_t Version_ = 0;
-  EngineEntry Truth_;
+  EngineEntry Engine_;
   bool Gone_ = false;
   std::array<std::unique_ptr<ModelDaemon>, 3> Daemons_;
-  std::optional<Answer> Asked_;
+  std::optional<Answer> PendingAnswer_;
   bool Broken_ = false;
 };
 
@@ -353,21 +366,22 @@
   return Text;
 }
 
-/// All sequences that go on from \p Begun. \returns the first that breaks what
-/// is promised, as text; empty: none does.
-std::string search(std::vector<Step> &Begun, bool TellsIncarnation,
-                   std::size_t Left, std::size_t &Tried) {
+/// Tries all sequences of up to \p Remaining more steps after \p Begun.
+/// \returns the first one that violates an invariant as text, empty if none
+/// does.
+std::string search(std::vector<Step> &Begun, bool HasIncarnation,
+                   std::size_t Remaining, std::size_t &Tried) {
   for (Step Next : AllSteps) {
-    World Fresh(TellsIncarnation);
-    std::ranges::for_each(Begun, [&](Step Done) { Fresh.run(Done); });
-    if (!Fresh.run(Next))
+    World Tested(HasIncarnation);
+    std::ranges::for_each(Begun, [&](Step Done) { Tested.run(Done); });
+    if (!Tested.run(Next))
       continue;
     ++Tried;
     Begun.push_back(Next);
-    if (Fresh.broken() || !Fresh.convergesInCalm() || Fresh.broken())
+    if (Tested.broken() || !Tested.convergesWithoutFaults() || Tested.broken())
       return textOf(Begun);
-    if (Left > 1) {
-      std::string Found = search(Begun, TellsIncarnation, Left - 1, Tried);
+    if (Remaining > 1) {
+      std::string Found = search(Begun, HasIncarnation, Remaining - 1, Tried);
       if (!Found.empty())
         return Found;
     }
@@ -376,21 +390,24 @@
   return {};
 }
 
-const std::vector<std::vector<Step>> Beginnings = {
-    {Step::Copy},
-    // The engine drains after the copy; one reader and the follower know.
-    {Step::Copy, Step::EngineGoesOn, Step::SecondReads, Step::FollowsSecond,
+/// Prefixes of the tried sequences, which lead to situations of interest.
+const std::vector<std::vector<Step>> Prefixes = {
+    {Step::TakeBackup},
+    // The engine drains after the backup. One reader and the follower know it.
+    {Step::TakeBackup, Step::EngineAdvances, Step::SecondReads,
+     Step::FollowsSecond, Step::Restore},
+    // The engine drains and leaves after the backup. The first reader and the
+    // follower know it.
+    {Step::TakeBackup, Step::EngineAdvances, Step::EngineAdvances,
+     Step::FirstRequests, Step::FirstReceives, Step::FollowsFirst,
      Step::Restore},
-    // It drains and goes after the copy; the first reader and the follower
-    // know.
-    {Step::Copy, Step::EngineGoesOn, Step::EngineGoesOn, Step::FirstAsks,
-     Step::FirstHears, Step::FollowsFirst, Step::Restore},
-    // It starts again after the copy.
-    {Step::EngineGoesOn, Step::Copy, Step::EngineGoesOn, Step::EngineGoesOn,
+    // The engine restarts after the backup.
+    {Step::EngineAdvances, Step::TakeBackup, Step::EngineAdvances,
+     Step::EngineAdvances, Step::SecondReads, Step::Restore},
+    // A version is accepted after the backup, and a response that was requested
+    // before the restore is still pending.
+    {Step::TakeBackup, Step::OperatorWrites, Step::FirstRequests,
      Step::SecondReads, Step::Restore},
-    // A version is accepted after the copy, and an answer is late.
-    {Step::Copy, Step::OperatorWrites, Step::FirstAsks, Step::SecondReads,
-     Step::Restore},
 };
 
 std::size_t depth() {
@@ -400,17 +417,18 @@
 
 } // namespace
 
-// A copy brings an older version, or a server that has left, back into force.
+// A restored backup holds an older version or a server that has left. Daemons
+// must not activate either again, whatever the order of events.
 TEST_CASE(
     "in all orders versions never fall, no departed engine gets work, and "
-    "calm brings all together") {
+    "all daemons converge without faults") {
   std::size_t Tried = 0;
-  for (bool TellsIncarnation : {false, true})
-    for (std::vector<Step> Begun : Beginnings) {
-      auto Found = search(Begun, TellsIncarnation, depth(), Tried);
-      CHECK_MESSAGE(Found.empty(), "incarnations told: " << TellsIncarnation
-                                                         << ", steps "
-                                                         << Found);
+  for (bool HasIncarnation : {false, true})
+    for (std::vector<Step> Begun : Prefixes) {
+      auto Found = search(Begun, HasIncarnation, depth(), Tried);
+      CHECK_MESSAGE(Found.empty(), "incarnations reported: " << HasIncarnation
+                                                             << ", steps "
+                                                             << Found);
     }
   MESSAGE(Tried << " sequences");
 }
--- a/UnitTests/platform/StoreEraTest.cpp
+++ b/UnitTests/platform/StoreEraTest.cpp
@@ -1,6 +1,7 @@
 /// \file
-/// The platform's store comes back from a copy that is some seconds old: what
-/// daemons that read it, and those that follow them, go on believing.
+/// The platform's store is restored from a backup that is some seconds old. The
+/// tests check the state of daemons that read it and of daemons that follow
+/// those.
 
 #include "UnitTests/platform/FollowerFleet.h"
 
@@ -16,16 +17,16 @@
 const std::vector<std::string> Everybody = {"first", "second", "third",
                                             "spare"};
 
-/// A fleet in calm: the spare daemon follows the first one.
-class CopyFleet : public Fleet {
+/// A fleet without faults in which the daemon "spare" follows "first".
+class RestoreFleet : public Fleet {
 public:
-  CopyFleet() {
+  RestoreFleet() {
     REQUIRE(runUntil([&] { return (*this)["spare"].follows("first"); }));
     REQUIRE(everybody([](FollowingDaemon &Daemon) {
       return Daemon.isActive("i-1") && Daemon.Service_->registered();
     }));
   }
-  /// Runs until it is so at each daemon. \returns whether it is.
+  /// Runs until \p IsSo holds at each daemon. \returns whether it does.
   bool everybody(const std::function<bool(FollowingDaemon &)> &IsSo) {
     return runUntil([&] {
       return std::ranges::all_of(Everybody, [&](const std::string &Name) {
@@ -49,8 +50,8 @@
              DocumentVersion(static_cast<std::uint64_t>(Version));
     });
   }
-  /// All have a version that the copy lacks from which the store comes back.
-  /// \returns whether all had it.
+  /// Restores the store from a backup without \p Version after all daemons have
+  /// got this version. \returns whether all had it before.
   bool loseVersion(int Version) {
     takeCopies();
     put("op/config", configuration(Version));
@@ -66,10 +67,11 @@
 
 } // namespace
 
-// The copy's configuration comes into force, and keys work again.
-TEST_CASE("a version that the copy lacks stays in force, and is confirmed only "
+// A backup holds an older configuration. Daemons that activated it would accept
+// keys again that were revoked.
+TEST_CASE("a version that the backup lacks stays active, and is confirmed only "
           "once it is written again") {
-  CopyFleet Test;
+  RestoreFleet Test;
   REQUIRE(Test.loseVersion(5));
   auto Lists = Test.SpareStore_.calls("/-/kv-range");
   REQUIRE(Test.allInEra(1));
@@ -83,11 +85,13 @@
   CHECK(Test.SpareStore_.calls("/-/kv-range") == Lists);
 }
 
-// A newer version that nobody here has heard of is taken for impossible.
+// A daemon cannot know whether the store had a newer version before the restore
+// that no daemon received. It must not treat that as impossible and confirm its
+// version at once.
 TEST_CASE(
-    "a version that the copy holds is confirmed when it is written again, "
+    "a version that the backup holds is confirmed when it is written again, "
     "or after a while") {
-  CopyFleet Test;
+  RestoreFleet Test;
   Test.takeCopies();
   Test.put("servers/i-2", serverEntry("ready"));
   REQUIRE(Test.runUntil([&] { return Test["first"].isActive("i-2"); }));
@@ -109,9 +113,9 @@
 
 bool hasFirstServer(FollowingDaemon &Daemon) { return Daemon.isActive("i-1"); }
 
-/// The service comes back from a copy in which i-1 has not left.
-void comeBackBeforeLeaving(CopyFleet &Test,
-                           const std::function<void()> &Leave) {
+/// Restores the service from a backup in which i-1 has not left yet.
+void restoreBeforeLeaving(RestoreFleet &Test,
+                          const std::function<void()> &Leave) {
   Test.takeCopies();
   Leave();
   REQUIRE(Test.everybody(
@@ -120,7 +124,7 @@
   REQUIRE(Test.allInEra(1));
   Test.runFor(Lapse / 2);
   CHECK(Test.nobody(hasFirstServer));
-  SUBCASE("its entry lapses") {
+  SUBCASE("its entry expires") {
     Test.remove("servers/i-1");
     Test.runFor(Lapse);
     CHECK(Test.nobody(hasFirstServer));
@@ -131,30 +135,33 @@
     CHECK(Test.everybody(hasFirstServer));
     CHECK(BootClock::now() - Before < Lapse / 2);
   }
-  SUBCASE("it stands longer than a silent one's would") {
+  SUBCASE("its entry exists longer than that of a dead server would") {
     CHECK(Test.everybody(hasFirstServer));
   }
 }
 
 } // namespace
 
-// The copy brings a draining server back.
-TEST_CASE("a server that drains stays so, though the copy says it is active") {
-  CopyFleet Test;
-  comeBackBeforeLeaving(
+// A backup from before a server began to drain must not make it active again.
+TEST_CASE(
+    "a server that drains stays so, though the backup says it is active") {
+  RestoreFleet Test;
+  restoreBeforeLeaving(
       Test, [&] { Test.put("servers/i-1", serverEntry("draining")); });
 }
 
-// The copy brings a server back that is gone.
-TEST_CASE("a server that is gone stays so, though the copy holds it") {
-  CopyFleet Test;
-  comeBackBeforeLeaving(Test, [&] { Test.remove("servers/i-1"); });
+// A backup that still holds the entry of a removed server must not bring it
+// back.
+TEST_CASE("a server that is gone stays so, though the backup holds it") {
+  RestoreFleet Test;
+  restoreBeforeLeaving(Test, [&] { Test.remove("servers/i-1"); });
 }
 
-// An outage of the service stops servers that registered shortly before.
+// A restored backup lacks servers that registered shortly before. They must not
+// lose their work at once, as they are still running.
 TEST_CASE("a server that the copy lacks gets work until it should have written "
           "again") {
-  CopyFleet Test;
+  RestoreFleet Test;
   Test.takeCopies();
   Test.put("servers/i-2", serverEntry("ready"));
   Test.put("servers/i-3", serverEntry("ready"));
@@ -172,9 +179,10 @@
       [](FollowingDaemon &Daemon) { return Daemon.isActive("i-2"); }));
 }
 
-// A watch goes on from a revision that means something else by now.
-TEST_CASE("a change is heard though its revision was given out before") {
-  CopyFleet Test;
+// After a restore revisions are assigned again. A watch that went on from its
+// old revision would miss changes.
+TEST_CASE("a change is received though its revision was assigned before") {
+  RestoreFleet Test;
   FollowingDaemon &First = Test["first"];
   FakeStore &Store = Test.storeOf("first");
   Store.takeCopy();
@@ -189,7 +197,8 @@
   CHECK(Test.runUntil([&] { return !First.isActive("i-1"); }));
 }
 
-// Newcomers don't find a daemon whose entry was lost with the copy.
+// A restore loses the entries of daemons that registered after the backup. New
+// daemons would not find them.
 TEST_CASE("daemons write their own entries again, and followers list nothing "
           "for it") {
   Fleet Test;
@@ -206,9 +215,10 @@
   CHECK(Test.SpareStore_.calls("/-/kv-range") == Lists);
 }
 
-// A daemon that starts after the loss serves by the older configuration.
+// A daemon that starts after a restore reads only the older configuration and
+// would use it although other daemons have a newer one.
 TEST_CASE("a version that gossip names comes from the daemon that has it") {
-  CopyFleet Test;
+  RestoreFleet Test;
   REQUIRE(Test.loseVersion(5));
   Test["first"].Choice_ = {StoreRole::Alone, {}};
   Test.SpareChoice_ = {StoreRole::Alone, {}};
@@ -221,9 +231,10 @@
   CHECK_FALSE(Spare.Peers_->lacksHeardVersion());
 }
 
-// One daemon's word stops the others for good.
-TEST_CASE("a version that its daemon does not hand over counts for nothing") {
-  CopyFleet Test;
+// A single daemon announces a version that it cannot deliver. Others that
+// waited for it would stop serving for good.
+TEST_CASE("a version that its daemon does not deliver is ignored") {
+  RestoreFleet Test;
   FollowingDaemon &Spare = Test["spare"];
   Spare.Peers_->onVersionHeard(VmId("second"), DocumentVersion(99));
   CHECK(Test.runUntil([&] { return !Spare.Peers_->lacksHeardVersion(); }));
@@ -233,13 +244,14 @@
   CHECK_FALSE(Spare.Freshness_.overdue(BootClock::now()));
 }
 
-// One daemon's word of an era keeps the others from the service for good.
-TEST_CASE("an era that only a daemon has told yields to the service's own") {
-  CopyFleet Test;
+// A single daemon sends a wrong, too high era. Others that insisted on it would
+// reject the service's own responses for good.
+TEST_CASE("an era that only a daemon has sent yields to the service's own") {
+  RestoreFleet Test;
   FollowingDaemon &Spare = Test["spare"];
-  KeyValue Told{
+  KeyValue Received{
       "servers/i-2", serverEntry("ready"), {StoreEra(1000), Revision(1)}};
-  REQUIRE(Spare.View_.follow({false, {Told}, {}}, Told.Position_));
+  REQUIRE(Spare.View_.follow({false, {Received}, {}}, Received.Position_));
   CHECK(Test.runUntil([&] { return !Spare.Service_->paused(); }));
   CHECK(Test.runUntil([&] { return Spare.follows("first"); }));
   CHECK(Spare.View_.position().Era_ == StoreEra(0));
@@ -250,9 +262,10 @@
   CHECK(Test.runUntil([&] { return Spare.isActive("i-2"); }));
 }
 
-// What a paused process reads late of the older era is believed.
+// A process that was paused may read a response of an older era after it has
+// seen a newer one. It must not apply that response.
 TEST_CASE("an answer of an older era changes nothing, and is counted") {
-  CopyFleet Test;
+  RestoreFleet Test;
   LogCapture Log;
   FollowingDaemon &First = Test["first"];
   FakeStore &Store = Test.storeOf("first");
@@ -268,9 +281,9 @@
   CHECK(Log.count("bad-store-era") == 1);
 }
 
-// A header of another form is taken for an era, or ends the process.
-TEST_CASE("an era that is no number leaves the last good state") {
-  CopyFleet Test;
+// A malformed era header must neither be used as an era nor end the process.
+TEST_CASE("an era that is not a number leaves the last good state") {
+  RestoreFleet Test;
   FollowingDaemon &First = Test["first"];
   FakeStore &Store = Test.storeOf("first");
   SUBCASE("text") { Store.Era_ = "third"; }
@@ -286,9 +299,10 @@
       [&] { return First.View_.position().Era_ == StoreEra(1); }));
 }
 
-// Two copies one after the other: the second one's loss goes unseen.
-TEST_CASE("what was written between two copies is written again after both") {
-  CopyFleet Test;
+// The store is restored twice from the same backup. The loss at the second
+// restore must not go unnoticed.
+TEST_CASE("what was written between two restores is written again after both") {
+  RestoreFleet Test;
   REQUIRE(Test.loseVersion(5));
   REQUIRE(Test.allInEra(1));
   Test.put("op/config", configuration(5));
