--- a/UnitTests/platform/ConfigurationTest.cpp
+++ b/UnitTests/platform/ConfigurationTest.cpp
@@ -68,7 +68,7 @@
   CHECK(Document->Limits_.IdleTimeout_ == milliseconds(15000));
 }
 
-TEST_CASE("keys are kept as digests, allotments in their unit") {
+TEST_CASE("keys are stored as digests, allotments in their unit") {
   auto Document = readExample();
   const Customer *Known = Document->customerByKeyDigest(sha256Hex("key-b"));
   REQUIRE(Known);
@@ -79,7 +79,7 @@
   CHECK(Document->customerByKeyDigest(sha256Hex("key-c")) == nullptr);
 }
 
-TEST_CASE("a kind that is not known is never repeated") {
+TEST_CASE("a request of an unknown kind is never retried") {
   Json Changed = example();
   Changed["routes"][1]["kind"] = "new-kind";
   auto Read = platform::readConfiguration(Changed.dump());
@@ -88,7 +88,7 @@
   CHECK_FALSE(Found->Forwarding_->repeatable());
 }
 
-TEST_CASE("what can't be read is a numbered failure") {
+TEST_CASE("an invalid configuration is reported with a result code") {
   CHECK(platform::readConfiguration("{").error().Code_ ==
         ResultCode::DocumentSyntax);
   CHECK(platform::readConfiguration("[]").error().Code_ ==
@@ -107,7 +107,7 @@
 
 namespace {
 
-/// All of a route that a request goes by.
+/// All properties of a route that affect requests, as text.
 std::string textOf(const Route &Known) {
   const ForwardingRule &Rule = *Known.Forwarding_;
   std::string Text = fmt::format(
@@ -135,14 +135,15 @@
   return Text;
 }
 
-/// What \p Text says by the rules of JSON alone, however it is laid out.
+/// The content of \p Text after a full parse, which does not depend on its
+/// layout.
 std::string textOfJson(const std::string &Text) {
   Json Root = Json::parse(Text, nullptr, false);
   return Root.is_object() ? textOf(platform::readConfiguration(Root.dump()))
                           : NotRead;
 }
 
-/// An example with \p Count routes.
+/// The example configuration with \p Count routes.
 Json exampleWith(int Count) {
   Json Built = example();
   Json First = Built["routes"][0];
@@ -158,10 +159,10 @@
 
 } // namespace
 
-TEST_CASE("a version takes over the routes that it leaves as they were") {
-  // Reading 4,200 routes anew for each version, be it for one route, held the
-  // daemon's thread up for 26 ms of processor time, on a VM with an eighth of a
-  // core for over 200 ms. Requests waited so long, and peers took it for dead.
+TEST_CASE("a version reuses the unchanged routes of the version before") {
+  // Parsing all of 4,200 routes when one changes blocks the daemon's thread for
+  // 26 ms of processor time, over 200 ms on a VM with an eighth of a core.
+  // Requests wait meanwhile, and peers consider the daemon dead.
   platform::ConfigurationReader Reader;
   Json Written = exampleWith(300);
   auto Before = Reader.read(Written.dump());
@@ -183,7 +184,8 @@
   CHECK(Old[7]->Forwarding_->Timeout_ == milliseconds(6000));
 }
 
-TEST_CASE("a tier that comes or goes moves the routes that are taken over") {
+TEST_CASE(
+    "a tier that is added or removed changes the tiers of reused routes") {
   platform::ConfigurationReader Reader;
   Json Written = exampleWith(3);
   auto Before = Reader.read(Written.dump());
@@ -193,11 +195,11 @@
   REQUIRE(After.has_value());
   CHECK(After->Document_->Tiers_ == std::vector<std::string>{"0", "2"});
   CHECK(After->Document_->Routes_[1]->Forwarding_->Tier_ == TierIndex(1));
-  // What requests hold of the version before does not change under them.
+  // Requests may still use routes of the version before, which must not change.
   CHECK(Before->Document_->Routes_[2]->Forwarding_->Tier_ == TierIndex(2));
 }
 
-TEST_CASE("a version that can't be read leaves the next one as it is") {
+TEST_CASE("an invalid version does not affect the next one") {
   platform::ConfigurationReader Reader;
   Json Written = exampleWith(3);
   REQUIRE(Reader.read(Written.dump()).has_value());
@@ -208,9 +210,9 @@
         textOf(platform::readConfiguration(Written.dump())));
 }
 
-TEST_CASE("a route with a wrong or missing member is not taken") {
-  // With an empty list of services to split over, the first of them was taken
-  // all the same: whatever lay in that memory became the route's service.
+TEST_CASE("a route with a wrong or missing member is rejected") {
+  // The first entry of the list of services becomes the route's service.
+  // Reading it from an empty list would use arbitrary memory as the service.
   const std::vector<std::pair<std::string, Json>> Wrong = {
       {"name", 5},
       {"hostname", nullptr},
@@ -248,8 +250,8 @@
   }
 }
 
-TEST_CASE("members of a route that are absent, unknown or no times have their "
-          "defaults") {
+TEST_CASE("members of a route that are absent, unknown or not durations have "
+          "their defaults") {
   Json Changed = example();
   Json &Written = Changed["routes"][1];
   for (const char *Field : {"timeout-ms", "attempts", "priority"})
@@ -272,7 +274,7 @@
   CHECK(Rule.Targets_[0].Pool_ == PoolName("plain"));
 }
 
-TEST_CASE("an unusual text of a configuration is read like any other") {
+TEST_CASE("a configuration with an unusual layout is read like any other") {
   std::string Plain = example().dump();
   std::string Expected = textOf(platform::readConfiguration(Plain));
   auto Read = [](const std::string &Text) {
@@ -282,7 +284,7 @@
   std::string Escaped = Plain;
   Escaped.replace(Escaped.find("\"routes\""), 8, "\"rout\\u0065s\"");
   CHECK(Read(Escaped) == Expected);
-  // Of two lists the last one counts.
+  // The last one of two lists of routes counts.
   std::string Doubled = "{\"routes\":[]," + Plain.substr(1);
   CHECK(Read(Doubled) == Expected);
   Json Quoted = example();
@@ -297,10 +299,11 @@
 }
 
 TEST_CASE("of two members of a route the last one counts, whatever the first") {
-  // A configuration that readers of JSON take was refused, and the version
-  // before it stayed in force: a member stood there twice, of a wrong type at
-  // first, and the reader of routes kept what it had found wrong there. A
-  // generated case showed it, with a split whose first part had no service.
+  // A member occurs twice in a route, the first time with a wrong type, or as a
+  // split whose first entry has no service. JSON parsers accept this and use
+  // the last one. If the reader of routes retained the problem of the first
+  // one, the configuration would be rejected and the version before it would
+  // stay active.
   const std::vector<std::pair<std::string, std::string>> Doubled = {
       {"name", "5"},
       {"attempts", "-1"},
@@ -317,8 +320,8 @@
     CAPTURE(Member.first);
     CAPTURE(Member.second);
     std::string Text = Written.dump();
-    auto Place = Text.find(Route) + 1;
-    Text.insert(Place, "\"" + Member.first + "\":" + Member.second + ",");
+    auto Offset = Text.find(Route) + 1;
+    Text.insert(Offset, "\"" + Member.first + "\":" + Member.second + ",");
     CHECK(textOf(platform::readConfiguration(Text)) == Expected);
   }
   std::string Text = Written.dump();
@@ -331,25 +334,25 @@
   CHECK(textOf(platform::readConfiguration(Last)) == "not read");
 }
 
-TEST_CASE("read after any version, a configuration is what its text says") {
+TEST_CASE("read after any version, a configuration matches its text") {
   bool Holds = rc::check([] {
     platform::ConfigurationReader Reader;
     std::string Text = exampleWith(3).dump();
     for (int Version = 0; Version < 3; ++Version) {
       RC_ASSERT(textOf(Reader.read(Text)) == textOfJson(Text));
-      // A byte is overwritten, a part repeated or left out.
-      auto Place = *rc::gen::inRange<std::size_t>(0, Text.size());
-      auto Length = *rc::gen::inRange<std::size_t>(0, Text.size() - Place);
+      // Overwrites a byte, or duplicates or removes a piece of the text.
+      auto Offset = *rc::gen::inRange<std::size_t>(0, Text.size());
+      auto Length = *rc::gen::inRange<std::size_t>(0, Text.size() - Offset);
       switch (*rc::gen::inRange(0, 3)) {
       case 0:
-        Text[Place] = *rc::gen::element('"', '\\', ',', ':', '{', '}', '[', ']',
-                                        '1', 'e', ' ');
+        Text[Offset] = *rc::gen::element('"', '\\', ',', ':', '{', '}', '[',
+                                         ']', '1', 'e', ' ');
         break;
       case 1:
-        Text.insert(Place, Text.substr(Place, Length));
+        Text.insert(Offset, Text.substr(Offset, Length));
         break;
       default:
-        Text.erase(Place, Length);
+        Text.erase(Offset, Length);
       }
     }
   });
@@ -386,7 +389,7 @@
         ResultCode::DocumentSchema);
 }
 
-TEST_CASE("an engine that does not tell its start is one process") {
+TEST_CASE("an engine that does not report its start is a single process") {
   Json Entry = directoryEntry();
   Entry.erase("born");
   auto Read = platform::readServer("i-1", Entry.dump());
@@ -394,13 +397,11 @@
   CHECK(Read->Server_.Incarnation_ == Incarnation(0));
 }
 
-TEST_CASE("what another writer left in the directory names no server") {
-  // Symptom: requests go to an address where no engine is, or to one that
-  // leaves.
-  // Sequence: an entry has a state that is not known, or none, or a field of
-  // another type.
-  // Cause: whatever was not "draining" was taken for ready, and a strange
-  // number of places for a default.
+TEST_CASE("an invalid entry of the directory is not used as a server") {
+  // Another writer left an entry with a missing or unknown state or with a
+  // field of a wrong type. If every state but "draining" counted as ready and
+  // an invalid number of slots as a default, requests would be sent to an
+  // address without an engine or to an engine that is leaving.
   const std::vector<std::pair<std::string, Json>> Wrong = {
       {"state", "asleep"},
       {"state", 1},
@@ -441,15 +442,15 @@
   }
 }
 
-TEST_CASE("no bytes of an entry are taken for a server, or break the reader") {
+TEST_CASE("arbitrary bytes neither become a server nor break the reader") {
   bool Holds = rc::check([](const std::string &Bytes) {
     RC_ASSERT(!platform::readServer("i-1", Bytes).has_value());
   });
   CHECK(Holds);
   bool HoldsCut = rc::check([] {
     std::string Text = directoryEntry().dump();
-    auto Place = *rc::gen::inRange<std::size_t>(0, Text.size());
-    Text[Place] = *rc::gen::arbitrary<char>();
+    auto Offset = *rc::gen::inRange<std::size_t>(0, Text.size());
+    Text[Offset] = *rc::gen::arbitrary<char>();
     auto Read = platform::readServer("i-1", Text);
     if (Read)
       RC_ASSERT(Read->Server_.MaxInFlight_ >= 1U);
--- a/UnitTests/platform/HeadersTest.cpp
+++ b/UnitTests/platform/HeadersTest.cpp
@@ -9,7 +9,7 @@
 const ForwardingDialect Dialect = platform::platformDialect();
 } // namespace
 
-TEST_CASE("another server at the address is told from one that refuses") {
+TEST_CASE("another server at the address is distinguished from a refusal") {
   HttpResponse Head;
   Head.Status_ = 421;
   CHECK(Dialect.ReadAnswer_(Head).Replaced_);
@@ -48,7 +48,8 @@
   CHECK(Labels.Parts_.size() == 1);
 }
 
-TEST_CASE("what only this system may set never comes from a caller") {
+TEST_CASE(
+    "fields that only this system may set are not accepted from a caller") {
   HttpFields Fields = {{"x-samphireshunt-tenant", "somebody"},
                        {"x-samphireshunt-retention", "r"},
                        {"x-samphireshunt-pin-ms", "1"},
@@ -69,7 +70,8 @@
   CHECK(Fields.at("x-samphireshunt-tenant") == "t-1");
 }
 
-TEST_CASE("only a server's own word says that it did not run") {
+TEST_CASE("only a server's own statement counts as proof that it did not run a "
+          "request") {
   HttpResponse Answer;
   Answer.Status_ = 503;
   CHECK_FALSE(Dialect.ReadAnswer_(Answer).NotRun_);
--- a/UnitTests/platform/OverdueConfigurationTest.cpp
+++ b/UnitTests/platform/OverdueConfigurationTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// What a daemon does while it knows of a newer configuration whose text does
-/// not come.
+/// The behaviour of a daemon that knows that a newer configuration exists but
+/// does not get its text.
 
 #include "UnitTests/Request/ForwardingHarness.h"
 #include "UnitTests/platform/FollowerFleet.h"
@@ -28,21 +28,23 @@
 
 } // namespace
 
-// A replaced configuration goes on serving requests without a key.
+// Requests without a key need no valid freshness lease. Without a check for
+// overdue configurations a replaced one would serve them for an unlimited time.
 TEST_CASE("a request without a key is not served by an overdue configuration") {
   ForwardingHarness Path(withApplyBound(), {answerAll});
   Path.lease().newerKnown(secondsAgo(1));
   CHECK(Path.call("c1").status() == 200);
   Path.lease().newerKnown(secondsAgo(3));
-  auto Late = Path.call("c2");
-  CHECK(Late.status() == 503);
-  CHECK(fieldIn(Late.Bytes_, "x-result-code") == "213");
+  auto Overdue = Path.call("c2");
+  CHECK(Overdue.status() == 503);
+  CHECK(fieldIn(Overdue.Bytes_, "x-result-code") == "213");
   CHECK(Path.received() == 1);
   Path.lease().newestInForce();
   CHECK(Path.call("c3").status() == 200);
 }
 
-// A key or a route of a configuration that is still on its way is denied.
+// A key or a route may exist only in the configuration that has not arrived
+// yet. A request for it must get a temporary error instead of a denial.
 TEST_CASE("nothing is denied while a newer configuration is known of") {
   auto Wanted = withApplyBound();
   Wanted.Keyed_ = true;
@@ -54,8 +56,8 @@
   CHECK(Path.received() == 0);
 }
 
-// A follower waits for a text for ever, and nobody knows.
-TEST_CASE("a text that does not come makes the configuration in force "
+// A follower that waits for a text for an unlimited time must report this.
+TEST_CASE("a text that does not come makes the active configuration "
           "overdue, until it is here") {
   Fleet Test;
   FollowingDaemon &Spare = Test["spare"];
--- a/UnitTests/platform/StoreTest.cpp
+++ b/UnitTests/platform/StoreTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The client of the platform's store, against a store that misbehaves.
+/// Tests of the client of the platform's store, also with a faulty store.
 
 #include "platform/Store.h"
 
@@ -27,7 +27,8 @@
       : Store_(Context_),
         Hooks_(platform::storeHooks(Store_.address(), CallTime)) {}
 
-  /// Begins a call whose result goes to \p Got.
+  /// Begins a call and stores its result in \p Got, which must outlive the
+  /// call.
   template <class Value, class Call>
   void begin(Call Begin, std::optional<Result<Value>> &Got) {
     auto Run = [Begin, &Got]() -> Awaitable<void> {
@@ -36,7 +37,7 @@
     };
     boost::asio::co_spawn(Context_, Run, boost::asio::detached);
   }
-  /// The result of one call.
+  /// \returns the result of a call after waiting for it.
   template <class Value, class Call> Result<Value> wait(Call Begin) {
     std::optional<Result<Value>> Got;
     begin<Value>(Begin, Got);
@@ -81,10 +82,9 @@
 }
 
 TEST_CASE("a list is read over all its pages, from the first page's revision") {
-  // Symptom: a change is never seen.
-  // Sequence: a list is read page by page; between two pages a key of the first
-  // one changes; the watch begins at the last page's revision.
-  // Cause: pages are no snapshot.
+  // The pages of a list are not a consistent snapshot. A key of the first page
+  // may change while the next one is read. A watch that began at the last
+  // page's revision would never report this change.
   StoreFixture Test;
   Test.Store_.PageSize_ = 2;
   for (const char *Key : {"a/1", "a/2", "a/3", "a/4", "a/5", "b/1"})
@@ -95,7 +95,7 @@
   CHECK(Test.Store_.calls("/-/kv-range") == 3);
 }
 
-TEST_CASE("a watch tells what was written and what was removed") {
+TEST_CASE("a watch reports writes and removals") {
   StoreFixture Test;
   Test.Store_.put("k", "old");
   auto Listed = Test.list("");
@@ -110,7 +110,7 @@
   CHECK(Nothing->Entries_.empty());
 }
 
-TEST_CASE("history that was dropped is told apart from an outage") {
+TEST_CASE("dropped history is distinguished from an outage") {
   StoreFixture Test;
   Test.Store_.put("k", "v");
   Test.Store_.dropHistory();
@@ -126,10 +126,10 @@
 }
 
 TEST_CASE("an answer whose members are of another type is an outage") {
-  // Symptom: a daemon goes on with what it knew, for good, and logs nothing.
-  // Sequence: an answer of the store has a text where a number is due.
-  // Cause: the reader threw, out of the coroutine that follows the store, which
-  // ended unseen.
+  // A response of the store has a string where a number is expected. An
+  // exception of the parser would silently end the coroutine that follows the
+  // store, and the daemon would go on with outdated state for good without a
+  // log entry.
   StoreFixture Test;
   for (const char *Body :
        {R"({"entries":[{"key":5,"value":"","revision":1}],"current-rev":1})",
@@ -154,7 +154,7 @@
         ResultCode::PlatformUnavailable);
 }
 
-TEST_CASE("a write that is refused is told apart from one whose answer is "
+TEST_CASE("a write that is refused is distinguished from one whose answer is "
           "lost") {
   StoreFixture Test;
   Test.Store_.put("k", "theirs");
@@ -167,12 +167,10 @@
 }
 
 TEST_CASE("a large answer over a slow link is waited for while it comes") {
-  // Symptom: daemons with slow links never get a large configuration; they log
-  // that the service timed out, again and again.
-  // Sequence: the configuration becomes larger than the link carries within
-  // the time of a call.
-  // Cause: that time was one for the whole answer. It was cut while it came,
-  // and begun anew.
+  // A large configuration takes a slow link longer than the timeout of a call.
+  // If the timeout applied to the whole response, it would be aborted while it
+  // arrives and requested again: daemons with slow links would never get the
+  // configuration and repeatedly log that the service timed out.
   StoreFixture Test;
   constexpr std::size_t Large = 100000;
   Test.Store_.put("k", std::string(Large, 'v'));
@@ -181,14 +179,14 @@
   auto Listed = Test.list("");
   REQUIRE(Listed.has_value());
   CHECK(Listed->Entries_.front().Value_.size() == Large);
-  // Longer than a call may be silent.
+  // The call took longer than the time that it may be silent.
   CHECK(std::chrono::steady_clock::now() - Begin > CallTime * 2);
   auto Changes = Test.watch(at(1), milliseconds(0));
   REQUIRE(Changes.has_value());
   CHECK(Changes->Entries_.size() == 1);
 }
 
-TEST_CASE("an answer that stops coming ends its call within the time of one") {
+TEST_CASE("a response that stops arriving ends its call within its timeout") {
   StoreFixture Test;
   constexpr std::size_t Large = 100000;
   Test.Store_.put("k", std::string(Large, 'v'));
@@ -206,11 +204,12 @@
   CHECK_FALSE(Test.Hooks_.AnswerComes_());
 }
 
-TEST_CASE("an answer that comes on and on ends at the limit for the whole") {
+TEST_CASE(
+    "a response that keeps arriving ends at the limit for the whole call") {
   StoreFixture Test;
   constexpr std::size_t Large = 600000;
   Test.Store_.put("k", std::string(Large, 'v'));
-  // Half a minute and more, a packet each 70 ms.
+  // The response takes more than 30 seconds, with a packet every 70 ms.
   Test.Store_.BytesPerSecond_ = Large / 30;
   Test.Hooks_ =
       platform::storeHooks(Test.Store_.address(), CallTime, CallTime * 3);
@@ -219,7 +218,8 @@
   CHECK(std::chrono::steady_clock::now() - Begin > CallTime * 2);
 }
 
-// Pages of a list before and after a copy are joined to a state that never was.
+// The store is restored from a backup between two pages of a list. Joining them
+// would give a state that the store never had.
 TEST_CASE("pages of two eras are not joined") {
   StoreFixture Test;
   Test.Store_.PageSize_ = 1;
@@ -236,7 +236,8 @@
   CHECK(Again->Entries_.size() == 2);
 }
 
-// A revision that was given out twice makes a conditional write succeed.
+// A restored store assigns revisions again. A conditional write may succeed
+// because the expected revision now belongs to another writer's value.
 TEST_CASE("a conditional write that meets another era's revision counts as "
           "unknown") {
   StoreFixture Test;
@@ -248,7 +249,7 @@
   Test.Store_.put("k", "another's");
   CHECK(Test.put("k", "ours again", *Written).error().Code_ ==
         ResultCode::StoreRestored);
-  // A create needs no revision of an era.
+  // Creating a key expects no revision and thus no particular era.
   CHECK(Test.put("n", "ours", at(0)).has_value());
 }
 
--- a/UnitTests/platform/StoreViewTest.cpp
+++ b/UnitTests/platform/StoreViewTest.cpp
@@ -31,7 +31,7 @@
   return {"servers/" + Name, std::move(Value), at(At)};
 }
 
-/// What a daemon believes that follows others.
+/// The view of a daemon that follows other daemons.
 class Follower {
 public:
   Follower()
@@ -53,13 +53,13 @@
 } // namespace
 
 TEST_CASE("a server that is known to be gone does not come back with another "
-          "daemon's older belief") {
-  // Symptom: requests are sent to an engine three seconds and more after the
-  // platform's service said that it is gone.
-  // Sequence: a daemon hears of the removal from the one that it follows; it
-  // turns to another one, which was turned away by the service meanwhile and
-  // still takes the entry for lapsed.
-  // Cause: whoever has read as far is believed in everything.
+          "daemon's older state") {
+  // A daemon receives the removal of a server from the daemon that it follows
+  // and then follows another one. The service rejected that one's calls
+  // meanwhile, so that it treats the missing entry as expired and retains the
+  // server. If its position alone decided, its state would be applied and
+  // requests would be sent to the engine three seconds and more after the
+  // service reported it gone.
   Follower Test;
   REQUIRE(
       Test.View_.follow({true, {configuration(), server("i-1", 5)}}, at(10)));
@@ -71,13 +71,14 @@
   REQUIRE(
       Test.View_.follow({true, {configuration(), server("i-1", 5)}}, at(30)));
   CHECK_FALSE(Test.isActive("i-1"));
-  // It registers again.
+  // The server registers again.
   REQUIRE(Test.View_.follow({false, {server("i-1", 40)}}, at(40)));
   CHECK(Test.isActive("i-1"));
 }
 
-TEST_CASE("followers hear of a server that registers again with the same "
-          "entry") {
+TEST_CASE(
+    "followers are notified of a server that registers again with the same "
+    "entry") {
   Follower Reader;
   KeyValueList All{{configuration(), server("i-1", 5)}, at(10)};
   Reader.View_.listed(All);
@@ -89,7 +90,8 @@
   CHECK(Changes.Entries_.front().Position_ == at(40));
 }
 
-TEST_CASE("a large directory is told in one line, a single server in its own") {
+TEST_CASE(
+    "a large directory is logged in one line, a single server in its own") {
   Follower Test;
   tests::LogCapture Log;
   KeyValueList All;
