--- a/UnitTests/platform/PeerFollowerTest.cpp
+++ b/UnitTests/platform/PeerFollowerTest.cpp
@@ -1,6 +1,7 @@
 /// \file
-/// A daemon that follows others instead of the platform's store, while these
-/// are well, frozen, behind, or have lost the store themselves.
+/// Tests of a daemon that follows other daemons instead of the platform's
+/// store, while these work, are frozen, are behind or have lost the store
+/// themselves.
 
 #include "UnitTests/platform/FollowerFleet.h"
 
@@ -13,13 +14,15 @@
 using namespace samphireshunt::tests;
 
 namespace {
-/// Answers may take 160 ms: longer than a busy machine stops a process.
-constexpr int UnhurriedBy = 4;
+/// With this slowdown responses may take 160 ms, which is longer than a busy
+/// machine stops a process.
+constexpr int SlowdownFactor = 4;
 } // namespace
 
-TEST_CASE("a daemon that follows another hears all changes and leaves the "
-          "service alone") {
-  Fleet Test(/*Small=*/false, UnhurriedBy);
+TEST_CASE(
+    "a daemon that follows another receives all changes and does not call "
+    "the service") {
+  Fleet Test(/*Small=*/false, SlowdownFactor);
   FollowingDaemon &Spare = Test["spare"];
   REQUIRE(Test.runUntil([&] { return Spare.follows("first"); }));
   Test.runFor(milliseconds(50));
@@ -31,17 +34,17 @@
   }));
   Test.put("servers/i-1", serverEntry("draining"));
   CHECK(Test.runUntil([&] { return !Spare.isActive("i-1"); }));
-  // A while longer than the lease: what the reader confirms renews it.
+  // Longer than the lease, which the reader's confirmations renew.
   Test.runFor(Lease + milliseconds(300));
   CHECK(Spare.Freshness_.valid(BootClock::now()));
   CHECK(Test.calls() == Calls);
 }
 
-TEST_CASE("a reader that freezes is left within two questions") {
-  // Symptom: a daemon sends work to a server long after it began to leave.
-  // Sequence: the daemon that it follows freezes; a server begins to leave.
-  // Cause: nobody told it, and it did not ask anybody else.
-  Fleet Test(/*Small=*/false, UnhurriedBy);
+TEST_CASE("a reader that freezes is left within two requests") {
+  // The reader that a daemon follows freezes, and a server begins to leave. If
+  // the daemon did not turn to another reader, it would not be notified and
+  // would send work to the server long after it began to leave.
+  Fleet Test(/*Small=*/false, SlowdownFactor);
   FollowingDaemon &Spare = Test["spare"];
   REQUIRE(Test.runUntil([&] { return Spare.follows("first"); }));
   Test.Frozen_.insert("first");
@@ -50,18 +53,19 @@
   CHECK(Spare.follows("second"));
 }
 
-TEST_CASE("a daemon that becomes a reader proves at once that it has the "
+TEST_CASE("a daemon that becomes a reader confirms at once that it has the "
           "service") {
-  // Symptom: when a fleet starts, or readers are replaced, all followers read
-  // the service themselves for seconds.
-  // Sequence: a daemon that was alone is chosen as a reader; it confirms what
-  // it knows only when its earlier, longer pause is over. Cause: to its
-  // followers it looks as if it had lost the service until then.
+  // A daemon that read the service only for itself is chosen as a reader. If
+  // its next confirmation waited for the end of its earlier, longer pause, its
+  // followers would conclude that it had lost the service. When a fleet starts
+  // or readers are replaced, all followers would then read the service
+  // themselves for seconds.
   Fleet Test;
   FollowingDaemon &Spare = Test["spare"];
   REQUIRE(Test.runUntil([&] { return Spare.follows("first"); }));
   auto Calls = Test.calls();
-  // The first proof of one that is alone would come within this time.
+  // The first confirmation of a daemon that reads only for itself would come
+  // within this time.
   Test.runFor(milliseconds(300));
   CHECK(Spare.follows("first"));
   CHECK(Test.calls() == Calls);
@@ -69,10 +73,9 @@
 
 TEST_CASE("a reader that answers is followed for a while, though another one "
           "would be chosen by now") {
-  // Symptom: beside a burst daemons on weak links get the whole directory of
-  // servers again and again.
-  // Sequence: the view of the members flaps, and with it the best reader.
-  // Cause: the reader was chosen anew with each question.
+  // During a burst the view of the members flaps, and with it the best reader.
+  // If the reader were chosen again for each request, daemons on slow links
+  // would repeatedly get the whole directory of servers.
   Fleet Test;
   FollowingDaemon &Spare = Test["spare"];
   REQUIRE(Test.runUntil([&] { return Spare.follows("first"); }));
@@ -80,7 +83,7 @@
   Test.runFor(milliseconds(150));
   CHECK(Spare.follows("first"));
   CHECK(Test.runUntil([&] { return Spare.follows("second"); }));
-  // One that may not be followed any more is left at once.
+  // A reader that may not be followed any more is left at once.
   Spare.Choice_.Readers_ = {VmId("first")};
   CHECK(Test.runUntil([&] { return Spare.follows("first"); }));
 }
@@ -99,9 +102,9 @@
 }
 
 TEST_CASE("a reader that lost the service renews nothing and is left") {
-  // Symptom: a key that was taken away works for longer than the bound.
-  // Sequence: the reader is cut off from the service; its followers ask on.
-  // Cause: an answer was taken for a confirmation, whatever its age.
+  // A reader is cut off from the service while its followers go on sending
+  // requests. If its responses counted as confirmations whatever the age of its
+  // state, a revoked key would work for longer than the bound.
   Fleet Test;
   FollowingDaemon &Spare = Test["spare"];
   REQUIRE(Test.runUntil([&] { return Spare.follows("first"); }));
@@ -113,12 +116,11 @@
       Test.runUntil([&] { return !Spare.Freshness_.valid(BootClock::now()); }));
 }
 
-TEST_CASE("readers that have lost the service are passed over until one has "
-          "it") {
-  // Symptom: while the service turns some readers away, all who follow them
-  // read it themselves, at hundreds of calls a second.
-  // Sequence: two of three readers lose it, and say so when they are asked.
-  // Cause: two tries were enough, though each had taken no time.
+TEST_CASE("readers that have lost the service are skipped until one has it") {
+  // The service rejects the calls of two of three readers, and these report
+  // that when they get a request. If a follower gave up after two attempts,
+  // although each takes no time, all followers would read the service
+  // themselves, with hundreds of calls per second.
   Fleet Test;
   FollowingDaemon &Spare = Test["spare"];
   REQUIRE(Test.runUntil([&] { return Spare.follows("first"); }));
@@ -131,10 +133,10 @@
 }
 
 TEST_CASE("a short outage of the service is waited for with the readers") {
-  // Symptom: the service gets ten calls from each daemon of a fleet of hundreds
-  // in the seconds in which it is away and comes back.
-  // Sequence: all readers lose it for a moment, and have it back.
-  // Cause: each follower looked for itself as soon as no reader had it.
+  // All readers lose the service for a moment. If each follower called the
+  // service as soon as no reader had it, each daemon of a fleet of hundreds
+  // would send ten calls in the seconds in which the service fails and
+  // recovers.
   Fleet Test;
   FollowingDaemon &Spare = Test["spare"];
   REQUIRE(Test.runUntil([&] { return Spare.follows("first"); }));
@@ -148,17 +150,18 @@
   CHECK(Test.runUntil([&] { return Spare.Peers_->reader().has_value(); }));
   CHECK(Spare.Service_->paused());
   CHECK(Test.calls() == Calls);
-  // A longer one is not: some only seem to be the service's.
+  // A longer outage is not waited for, since the fault may not be the
+  // service's.
   for (const char *Name : {"first", "second", "third"})
     Test.storeOf(Name).FailWith_ = 503;
   CHECK(Test.runUntil([&] { return !Spare.Service_->paused(); }));
 }
 
-TEST_CASE("a reader that is behind brings no leaving server back") {
+TEST_CASE("a reader that is behind does not bring a leaving server back") {
   Fleet Test;
   FollowingDaemon &Spare = Test["spare"];
   REQUIRE(Test.runUntil([&] { return Spare.follows("first"); }));
-  // The second one's store is partitioned: it knows nothing of the change.
+  // The store of the second reader is partitioned and lacks the change.
   Test.storeOf("first").put("servers/i-1", serverEntry("draining"));
   REQUIRE(Test.runUntil([&] { return !Spare.isActive("i-1"); }));
   Test.Frozen_.insert("first");
@@ -180,7 +183,7 @@
       [&] { return Spare.isActive("i-2") && Spare.isActive("i-3"); }));
 }
 
-TEST_CASE("servers that lapse in an outage stay, also for followers") {
+TEST_CASE("servers that expire in an outage stay, also for followers") {
   Fleet Test;
   FollowingDaemon &Spare = Test["spare"];
   REQUIRE(Test.runUntil([&] { return Spare.follows("first"); }));
@@ -197,18 +200,17 @@
   Test.SpareStore_.FailWith_ = 0;
   REQUIRE(Test.runUntil([&] { return Spare.Service_->paused(); }));
   CHECK(Spare.isActive("i-1"));
-  // Back within the time allowed.
+  // The server registers again within the time that it has after an outage.
   Test.put("servers/i-1", serverEntry("ready"));
   Test.runFor(milliseconds(300));
   CHECK(Spare.isActive("i-1"));
 }
 
-TEST_CASE("a daemon of a small fleet that lost the service hears of a leaving "
+TEST_CASE("a daemon of a small fleet that lost the service learns of a leaving "
           "server from others, and reads the service again when it is back") {
-  // Symptom: one daemon sends work to a server that left, or refuses all keys,
-  // while the others are well.
-  // Sequence: the service turns one daemon away; a server begins to leave.
-  // Cause: it asked only the service.
+  // The service rejects the calls of one daemon, and a server begins to leave.
+  // If the daemon used no other source, it would send work to the server that
+  // left or refuse all keys while the other daemons work.
   Fleet Test(true);
   FollowingDaemon &Spare = Test["spare"];
   REQUIRE(Test.runUntil([&] { return Spare.isActive("i-1"); }));
@@ -218,14 +220,14 @@
   CHECK(Test.runUntil([&] { return !Spare.isActive("i-1"); }));
   Test.runFor(Lease + milliseconds(300));
   CHECK(Spare.Freshness_.valid(BootClock::now()));
-  // The balancer had better send callers elsewhere.
+  // The load balancer should prefer other daemons for callers.
   CHECK_FALSE(Spare.Peers_->inTouch());
   Test.SpareStore_.FailWith_ = 0;
   CHECK(Test.runUntil([&] { return Spare.Peers_->inTouch(); }));
   CHECK(Test.runUntil([&] { return !Spare.Peers_->reader(); }));
 }
 
-TEST_CASE("a daemon that starts while the service turns it away gets the "
+TEST_CASE("a daemon that starts while the service rejects its calls gets the "
           "configuration from others") {
   Fleet Test(true);
   REQUIRE(Test.runUntil([&] { return Test["first"].isActive("i-1"); }));
@@ -237,14 +239,14 @@
   }));
 }
 
-TEST_CASE(
-    "a pause of this process is not taken for the silence of its reader") {
-  // Symptom: beside a large configuration daemons leave readers that run, and
-  // after two of them read the whole of the service, over links that are full.
-  // Sequence: a daemon asks its reader and gets no processor for longer than an
-  // answer may take; the answer lies unread when it goes on.
-  // Cause: the timer is due in the turn in which the length of the answer's
-  // frame is read, and its handler comes before the frame's bytes.
+TEST_CASE("a pause of this process is not treated as silence of its reader") {
+  // A daemon sends a request to its reader and then gets no processor for
+  // longer than the response may take, so that the response is unread when it
+  // continues. The timer expires in the event-loop iteration in which the
+  // length of the response's frame is read, and its handler runs before the
+  // frame's bytes are read. With a large configuration daemons would thus leave
+  // working readers and, after two of them, read everything from the service
+  // over saturated links.
   LoneFollower Test;
   REQUIRE(Test.runUntil([&] { return Test.Self_->follows("first"); }));
   int Before = Test.Questions_["first"];
@@ -257,12 +259,11 @@
 
 TEST_CASE("a server that is removed while the readers are behind is gone for "
           "a daemon that reads the service itself") {
-  // Symptom: requests are sent to a server seconds after the service said that
-  // it is gone.
-  // Sequence: both readers hear nothing of the service for a moment; a server
-  // is removed; the daemon that follows them turns to the service, which
-  // answers it at once.
-  // Cause: old answers of two readers were taken for an outage of the service.
+  // Both readers get nothing from the service for a moment, and a server is
+  // removed. The daemon that follows them turns to the service, which answers
+  // at once. If the outdated responses of two readers counted as an outage of
+  // the service, requests would be sent to the server seconds after the service
+  // reported it gone.
   Fleet Test;
   FollowingDaemon &Spare = Test["spare"];
   REQUIRE(Test.runUntil([&] { return Spare.follows("first"); }));
@@ -277,28 +278,27 @@
 }
 
 TEST_CASE("a large configuration comes in small messages") {
-  // Symptom: daemons on slow links never get a large configuration, and leave
-  // one reader for another.
-  // Sequence: a configuration of a megabyte is written; its readers tell it.
-  // Cause: all of it came in one message, longer than an answer may take, and
-  // nothing else got through meanwhile.
+  // Readers send a configuration of a megabyte. In a single message it would
+  // take a slow link longer than a response may take and block everything else
+  // meanwhile. Daemons on slow links would never get it and would change
+  // readers repeatedly.
   Fleet Test;
   FollowingDaemon &Spare = Test["spare"];
   REQUIRE(Test.runUntil([&] { return Spare.follows("first"); }));
   Test.put("op/config", largeConfiguration(5, 1000000));
   CHECK(Test.runUntil([&] { return Spare.version() == DocumentVersion(5); }));
-  constexpr std::size_t TellsOfAll = 32 * 1024;
-  CHECK(Test.LongestMessage_ < TellsOfAll);
+  constexpr std::size_t MaxMessage = 32 * 1024;
+  CHECK(Test.LongestMessage_ < MaxMessage);
 }
 
-TEST_CASE("of a configuration that changed a little, little is sent") {
+TEST_CASE("little is sent of a configuration that changed a little") {
   Fleet Test;
   FollowingDaemon &Spare = Test["spare"];
   REQUIRE(Test.runUntil([&] { return Spare.follows("first"); }));
   Test.SpareStore_.FailWith_ = 503;
   Test.put("op/config", largeConfiguration(5, 300000));
   REQUIRE(Test.runUntil([&] { return Spare.version() == DocumentVersion(5); }));
-  // Digits are half of what they are written as.
+  // Packing halves the size of random hexadecimal digits.
   CHECK(Test.PackedSize_ > 100000);
   Test.put("op/config", largeConfiguration(6, 300000));
   REQUIRE(Test.runUntil([&] { return Spare.version() == DocumentVersion(6); }));
@@ -306,12 +306,11 @@
 }
 
 TEST_CASE("while a configuration's text does not come, servers that leave are "
-          "heard of, and the old one does not count as fresh") {
-  // Symptom: a key that was taken away works for longer than the bound.
-  // Sequence: the reader has a new configuration; its text stays out, and its
-  // answers come as always.
-  // Cause: an answer of a reader was taken for a confirmation of what is in
-  // force here, though the reader had a newer one.
+          "reported, and the old one does not count as fresh") {
+  // The reader has a new configuration whose text does not arrive, while its
+  // responses do. If they confirmed the configuration that is active here
+  // although the reader has a newer one, a revoked key would work for longer
+  // than the bound.
   Fleet Test;
   FollowingDaemon &Spare = Test["spare"];
   REQUIRE(Test.runUntil([&] { return Spare.follows("first"); }));
@@ -327,7 +326,7 @@
       Test.runUntil([&] { return Spare.Freshness_.valid(BootClock::now()); }));
 }
 
-TEST_CASE("a text that comes wrong is asked for again, and not put in force") {
+TEST_CASE("a corrupt text is requested again, and not activated") {
   Fleet Test;
   FollowingDaemon &Spare = Test["spare"];
   REQUIRE(Test.runUntil([&] { return Spare.follows("first"); }));
@@ -352,7 +351,7 @@
   CHECK(Test.runUntil([&] { return Spare.follows("second"); }));
 }
 
-TEST_CASE("a newer configuration takes the place of one that is under way") {
+TEST_CASE("a newer configuration replaces one that is being transferred") {
   Fleet Test;
   FollowingDaemon &Spare = Test["spare"];
   REQUIRE(Test.runUntil([&] { return Spare.follows("first"); }));
@@ -371,11 +370,10 @@
 
 TEST_CASE("a configuration comes among the changes where one daemon is of an "
           "earlier version") {
-  // Symptom: beside a rolling replacement, new daemons stay at the old
-  // configuration.
-  // Sequence: a daemon that asks for texts follows one that can't tell them, or
-  // the other way round.
-  // Cause: the text was left out of the changes for one that does not ask.
+  // During a rolling replacement a daemon that requests separate texts follows
+  // one that cannot send them, or the other way round. If the text were left
+  // out of the changes for a daemon that does not request it, new daemons would
+  // stay at the old configuration.
   Fleet Test;
   Test.Mixed_ = true;
   FollowingDaemon &Spare = Test["spare"];
@@ -386,7 +384,7 @@
   CHECK(Test.Parts_ == 0);
   Test.runFor(Lease + milliseconds(300));
   CHECK(Spare.Freshness_.valid(BootClock::now()));
-  // The earlier one was replaced.
+  // The daemon of the earlier version is replaced.
   Test.Mixed_ = false;
   REQUIRE(Test.runUntil([&] { return Test.AskedApart_ > 0; }));
   Test.put("op/config", largeConfiguration(6, 100000));
@@ -394,17 +392,17 @@
   CHECK(Test.Parts_ > 0);
 }
 
-TEST_CASE("a daemon that knows a large configuration follows a reader whose "
-          "link can't carry it in the time that an answer may take") {
-  // Symptom: once a large configuration is in force, links of 10 Mbit/s stay
-  // full for as long as the fleet runs; daemons behind them seem dead, and
-  // hardly any daemon follows another one.
-  // Sequence: a configuration of 2,000 routes is in force everywhere. Nothing
-  // changes any more. A follower asks a reader that it did not follow last,
-  // over a link that needs some 200 ms for that much; an answer may take 40.
-  // Cause: a reader tells whoever did not follow it last all that it
-  // believes. The answer comes too late and is dropped, the next reader is
-  // asked the same, then the service, and so on for ever.
+TEST_CASE("a daemon that has a large configuration follows a reader whose link "
+          "can't transmit it in the time that a response may take") {
+  // A configuration of 2,000 routes is active everywhere and nothing changes. A
+  // follower sends a request to a reader that it did not follow last, over a
+  // link that needs some 200 ms for the configuration, while a response may
+  // take 40 ms. If a reader sent its whole state to every new follower, the
+  // response would miss its deadline and be dropped. The follower would request
+  // the same of the next reader, then of the service, and so on without end.
+  // Links of 10 Mbit/s would stay saturated as long as the fleet runs, daemons
+  // behind them would seem dead, and hardly any daemon would follow another
+  // one.
   constexpr std::size_t Routes = 2000;
   constexpr std::size_t SlowLink = 1000;
   const std::string Large = configuration(5, Routes);
@@ -420,11 +418,12 @@
   for (const char *Name : {"first", "second"})
     Test.BytesPerMs_[Name] = SlowLink;
   Test.Frozen_.insert("first");
-  // Long enough for one answer of everything, and for many questions.
+  // Long enough for a response with the whole state and for many requests.
   Test.runFor(milliseconds(500));
   CHECK(Spare.Service_->paused());
-  // Nothing has changed: next to nothing is to be told, and nobody need ask
-  // the service. The frozen reader is asked again now and then, in between.
+  // Nothing has changed, so that responses should be almost empty and no daemon
+  // should call the service. The frozen reader gets a request from time to
+  // time.
   auto Calls = Test.calls();
   Test.Sent_.clear();
   Test.runFor(milliseconds(500));
@@ -433,12 +432,12 @@
   CHECK(Spare.Service_->paused());
 }
 
-// Links stay full for good: whoever changes its reader is told the whole
-// directory, later than an answer may come.
-TEST_CASE("a daemon that knows a large directory follows another reader over a "
-          "slow link, and is told next to nothing") {
+// If a daemon got the whole directory from each new reader, the response would
+// miss its deadline on a slow link, and links would stay saturated for good.
+TEST_CASE("a daemon that has a large directory follows another reader over a "
+          "slow link, and gets almost no data") {
   constexpr std::size_t SlowLink = 1000;
-  constexpr std::size_t MostTold = 20000;
+  constexpr std::size_t MaxSent = 20000;
   Fleet Test;
   FollowingDaemon &Spare = Test["spare"];
   REQUIRE(Test.runUntil([&] { return Spare.follows("first"); }));
@@ -457,17 +456,18 @@
   Test.runFor(milliseconds(500));
   CHECK(Spare.Service_->paused());
   CHECK(Test.runUntil([&] { return Spare.follows("second"); }));
-  CHECK(Test.Sent_["second"] < MostTold);
+  CHECK(Test.Sent_["second"] < MaxSent);
   CHECK(Test.calls() == Calls);
-  // What changes after that is told alone.
+  // A later change is sent alone.
   Test.put("servers/i-500", serverEntry("draining"));
   CHECK(Test.runUntil([&] { return !Spare.isActive("i-500"); }));
-  CHECK(Test.Sent_["second"] < MostTold);
+  CHECK(Test.Sent_["second"] < MaxSent);
 }
 
-// A daemon on a weak link never gets the directory: it comes too late.
-TEST_CASE("a large directory is told packed to one that has nothing of it") {
-  constexpr std::size_t MostTold = 60000;
+// Without packing a daemon on a slow link would never get the whole directory,
+// as the response would miss its deadline.
+TEST_CASE("a large directory is sent packed to a daemon that has none of it") {
+  constexpr std::size_t MaxSent = 60000;
   Fleet Test;
   Test.putServers(1000);
   REQUIRE(Test.runUntil([&] { return Test["first"].isActive("i-999"); }));
@@ -477,5 +477,5 @@
   FollowingDaemon &Spare = Test["spare"];
   Spare.Choice_.Role_ = StoreRole::Alone;
   CHECK(Test.runUntil([&] { return Spare.isActive("i-999"); }));
-  CHECK(Test.LongestMessage_ < MostTold);
+  CHECK(Test.LongestMessage_ < MaxSent);
 }
--- a/UnitTests/platform/StoreFollowerTest.cpp
+++ b/UnitTests/platform/StoreFollowerTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// What a daemon believes of configuration and servers while the platform's
-/// store is well, away, slow to tell, or has lost its history.
+/// Tests of the configuration and servers that a daemon uses while the
+/// platform's store works, fails, reports changes late or has lost its history.
 
 #include "Process/Configuration/StoreFollower.h"
 
@@ -20,7 +20,7 @@
 constexpr milliseconds Lease{400};
 constexpr milliseconds ApplyBound{200};
 
-/// A configuration of so many bytes and more.
+/// A configuration that is padded with \p Bytes spaces.
 std::string largeConfiguration(int Version, std::size_t Bytes) {
   return configuration(Version) + std::string(Bytes, ' ');
 }
@@ -37,7 +37,7 @@
     Store_.put("servers/i-1", serverEntry("ready"));
     follow();
   }
-  /// A daemon that begins to follow.
+  /// Creates and starts the follower, as at the start of a daemon.
   void follow() {
     StoreFollower::Options Options;
     Options.WatchTime_ = WatchTime_;
@@ -67,11 +67,12 @@
   DocumentVersion version() const { return View_.version(); }
   std::size_t servers() const {
     auto Snapshot = Documents_.snapshot();
-    const ServiceConfiguration *InForce = Snapshot->service(Service);
-    const Pool *Found = InForce ? InForce->pool(ThePool) : nullptr;
+    const ServiceConfiguration *Active = Snapshot->service(Service);
+    const Pool *Found = Active ? Active->pool(ThePool) : nullptr;
     return Found ? Found->Servers_.size() : 0;
   }
-  /// Follows the service again; returns when all is listed and in force.
+  /// Resumes following the service. Returns when everything is listed and
+  /// active.
   void resume(bool AfterOutage) {
     auto Watches = Store_.calls("/-/kv-watch");
     Follower_->resume(AfterOutage);
@@ -94,7 +95,7 @@
 
 } // namespace
 
-TEST_CASE("configuration, servers and daemons are in force as they change") {
+TEST_CASE("changes of configuration, servers and daemons become active") {
   FollowerFixture Test;
   REQUIRE(Test.runUntil([&] { return Test.isActive("i-1"); }));
   CHECK(Test.version() == DocumentVersion(3));
@@ -113,7 +114,7 @@
   CHECK(Test.runUntil([&] { return Test.servers() == 0; }));
 }
 
-TEST_CASE("a daemon that starts again at its address writes nothing") {
+TEST_CASE("a daemon that restarts at its address writes nothing") {
   FollowerFixture Test;
   REQUIRE(Test.runUntil([&] { return Test.Store_.calls("/-/kv-txn") == 1; }));
   REQUIRE(Test.runUntil(
@@ -134,7 +135,7 @@
   CHECK(Test.Store_.calls("/-/kv-txn") <= 2);
 }
 
-TEST_CASE("an older version never comes back into force") {
+TEST_CASE("an older version never becomes active again") {
   FollowerFixture Test;
   REQUIRE(Test.runUntil([&] { return Test.version() == DocumentVersion(3); }));
   Test.Store_.put("op/config", configuration(2));
@@ -143,8 +144,8 @@
 }
 
 TEST_CASE(
-    "a configuration that can't be read leaves the last good one in force, "
-    "an entry of a server names none") {
+    "an invalid configuration leaves the last valid one active, an invalid "
+    "server entry adds no server") {
   FollowerFixture Test;
   REQUIRE(Test.runUntil([&] { return Test.isActive("i-1"); }));
   Test.Store_.put("op/config", "{\"version\":9}");
@@ -157,10 +158,10 @@
 }
 
 TEST_CASE("a server that left while the history was lost is gone at once") {
-  // Symptom: requests go to a server long after it left.
-  // Sequence: watches hear nothing; a server's entry goes; the history is
-  // dropped and the watch refused.
-  // Cause: the watch went on from the newest revision, past the change.
+  // Watches report nothing while a server's entry is removed, and the store
+  // drops its history and rejects the watch. A watch that went on from the
+  // newest revision would miss the change, and requests would go to the server
+  // long after it left.
   FollowerFixture Test;
   REQUIRE(Test.runUntil([&] { return Test.isActive("i-1"); }));
   Test.Store_.remove("servers/i-1");
@@ -170,7 +171,7 @@
   CHECK(Test.version() == DocumentVersion(4));
 }
 
-TEST_CASE("servers whose entries lapse in an outage keep their work until "
+TEST_CASE("servers whose entries expire in an outage keep their work until "
           "they should be back") {
   FollowerFixture Test;
   REQUIRE(Test.runUntil([&] { return Test.isActive("i-1"); }));
@@ -189,7 +190,7 @@
   CHECK(Test.isActive("i-1"));
 }
 
-TEST_CASE("a store that falls silent ends the freshness, and its return "
+TEST_CASE("a store that stops answering ends the freshness, and its return "
           "renews it") {
   FollowerFixture Test;
   auto Fresh = [&] { return Test.Freshness_.valid(BootClock::now()); };
@@ -200,23 +201,23 @@
   CHECK(Test.runUntil(Fresh));
 }
 
-TEST_CASE("a calm store is asked no more than the freshness requires") {
+TEST_CASE(
+    "a store without changes gets only the calls that freshness requires") {
   FollowerFixture Test;
   REQUIRE(Test.runUntil([&] { return Test.Store_.calls("/-/kv-txn") == 1; }));
   auto Watches = Test.Store_.calls("/-/kv-watch");
   auto Ranges = Test.Store_.calls("/-/kv-range");
   Test.runFor(milliseconds(500));
-  // One watch is under way; a read each 100 ms.
+  // One watch is pending, and there is one read every 100 ms.
   CHECK(Test.Store_.calls("/-/kv-watch") - Watches <= 2);
   CHECK(Test.Store_.calls("/-/kv-range") - Ranges <= 6);
 }
 
 TEST_CASE("a watch that went silent is replaced") {
-  // Symptom: a server that began to leave gets requests for as long as a watch
-  // may last.
-  // Sequence: the watch's connection goes silent while new ones work; a server
-  // begins to leave.
-  // Cause: nothing tells a deaf watch from a calm service but another call.
+  // The watch's connection goes silent while new ones work, and a server begins
+  // to leave. Only another call distinguishes a broken watch from a service
+  // without changes. Without one the server would get requests for as long as a
+  // watch lasts.
   FollowerFixture Test;
   REQUIRE(Test.runUntil([&] { return Test.isActive("i-1"); }));
   Test.runFor(milliseconds(30));
@@ -230,11 +231,10 @@
 }
 
 TEST_CASE("an entry that is overwritten by another writer gets no new work") {
-  // Symptom: requests are sent to an engine of which nobody knows any more
-  // where it is.
-  // Sequence: an engine's good entry is overwritten by bytes that can't be
-  // read; another engine's entry stays as it was.
-  // Cause: the last good entry was kept for as long as the bad one stood.
+  // The valid entry of an engine is overwritten by invalid bytes, while another
+  // engine's entry stays unchanged. If the last valid entry were retained as
+  // long as the invalid one exists, requests would be sent to an engine whose
+  // address is no longer known.
   FollowerFixture Test;
   Test.Store_.put("servers/i-2", serverEntry("ready"));
   REQUIRE(Test.runUntil(
@@ -247,10 +247,9 @@
 }
 
 TEST_CASE("a large configuration is read once, not with each confirmation") {
-  // Symptom: a daemon with a slow link keeps it full for as long as it runs,
-  // once the configuration has become large.
-  // Sequence: the operator writes a large configuration; nothing changes then.
-  // Cause: each confirmation read the whole configuration again.
+  // The operator writes a large configuration, and nothing changes afterwards.
+  // If each confirmation read the whole configuration again, a daemon with a
+  // slow link would saturate it for as long as it runs.
   FollowerFixture Test;
   REQUIRE(Test.runUntil([&] { return Test.Store_.calls("/-/kv-txn") == 1; }));
   constexpr std::size_t Large = 300000;
@@ -265,12 +264,11 @@
   CHECK(Test.Freshness_.valid(BootClock::now()));
 }
 
-TEST_CASE("a change that is not taken in yet ends the freshness") {
-  // Symptom: a key that was taken away works for longer than the bound.
-  // Sequence: watches hear nothing for a while, new ones neither; the operator
-  // takes a key away.
-  // Cause: a confirmation was taken for one although the service's revision
-  // was past what is known here.
+TEST_CASE("a change that is not applied yet ends the freshness") {
+  // Watches report nothing for a while, not even new ones, and the operator
+  // revokes a key. If a response renewed the freshness although the service's
+  // revision is newer than the state here, the key would work for longer than
+  // the bound.
   FollowerFixture Test;
   auto Fresh = [&] { return Test.Freshness_.valid(BootClock::now()); };
   REQUIRE(Test.runUntil([&] { return Test.Store_.calls("/-/kv-txn") == 1; }));
@@ -285,12 +283,12 @@
       [&] { return Test.version() == DocumentVersion(4) && Fresh(); }));
 }
 
-TEST_CASE("a watch that ends past changes that it did not tell is no news") {
-  // Symptom: requests go to a server for good that left, and a key that was
-  // taken away works for good.
-  // Sequence: watches hear nothing for a moment; a server leaves and the
-  // configuration changes; a watch's time is up just then.
-  // Cause: an answer without changes was believed up to its revision.
+TEST_CASE(
+    "a watch that ends past changes that it did not report is no update") {
+  // Watches report nothing for a moment, in which a server leaves, the
+  // configuration changes and a watch's time ends. If its response without
+  // changes counted as complete up to its revision, requests would go to the
+  // departed server and a revoked key would work for good.
   constexpr milliseconds ShortWatch{50};
   FollowerFixture Test(ShortWatch);
   REQUIRE(Test.runUntil([&] { return Test.isActive("i-1"); }));
@@ -308,12 +306,11 @@
 }
 
 TEST_CASE("a watch whose answer is coming is not given up") {
-  // Symptom: a daemon with a slow link keeps it full for as long as it runs,
-  // and never hears the end of a large change.
-  // Sequence: the operator writes a configuration that takes the link longer
-  // than a watch may be behind.
-  // Cause: the watch was taken for deaf while its answer came. The next one
-  // began the same answer anew, beside the first.
+  // The operator writes a configuration that takes the link longer than a watch
+  // may be behind. If the watch counted as broken while its response arrives,
+  // the next one would request the same response again, in parallel. A daemon
+  // with a slow link would saturate it for as long as it runs and never get the
+  // whole change.
   FollowerFixture Test;
   REQUIRE(Test.runUntil([&] { return Test.isActive("i-1"); }));
   REQUIRE(Test.runUntil([&] { return Test.Store_.calls("/-/kv-txn") == 1; }));
@@ -324,14 +321,15 @@
   Test.Store_.put("op/config", largeConfiguration(4, Large));
   CHECK(Test.runUntil([&] { return Test.version() == DocumentVersion(4); }));
   Test.runFor(milliseconds(800));
-  // The value stands in the answer by four bytes for three.
+  // The response holds the value as base64, four bytes for three.
   CHECK(Test.Store_.bytesSent() - Bytes < Large * 4 / 3 + Large / 4);
   CHECK(Test.Freshness_.valid(BootClock::now()));
   CHECK(Test.Follower_->platformReachable());
 }
 
-// A replaced configuration serves on while a full link carries the next one.
-TEST_CASE("a configuration whose answer comes slowly makes the one in force "
+// A replaced configuration must not be used without limit while a saturated
+// link transmits the next one.
+TEST_CASE("a configuration whose answer comes slowly makes the active one "
           "overdue, until it is here") {
   FollowerFixture Test;
   REQUIRE(Test.runUntil([&] { return Test.Store_.calls("/-/kv-txn") == 1; }));
@@ -344,8 +342,9 @@
   CHECK(Test.runUntil([&] { return !IsOverdue(); }));
 }
 
-// An outage right after a change stops requests that need no confirmation.
-TEST_CASE("a change that was told of before an outage makes nothing overdue") {
+// An outage right after a change must not make the configuration overdue, which
+// would stop requests that need no confirmation.
+TEST_CASE("a change that was reported before an outage makes nothing overdue") {
   FollowerFixture Test;
   REQUIRE(Test.runUntil([&] { return Test.Store_.calls("/-/kv-txn") == 1; }));
   Test.Store_.DeafWatches_ = true;
@@ -360,13 +359,12 @@
 }
 
 TEST_CASE("a server that was removed while another daemon was followed is gone "
-          "with the first list, unless an outage may have let it lapse") {
-  // Symptom: requests are sent to a server seconds after the service said that
-  // it is gone.
-  // Sequence: the followed daemon is behind for a second; a server is removed;
-  // this daemon reads the service, which was well all the while.
-  // Cause: every turn to the service after an old answer was taken for the end
-  // of an outage in which entries lapse. No outage so short lets any lapse.
+          "with the first list, unless an outage may have let it expire") {
+  // The followed daemon is behind for a second, and a server is removed. This
+  // daemon then reads the service, which worked all the time. If every return
+  // to the service after an outdated response counted as the end of an outage
+  // in which entries expire, requests would be sent to the server seconds after
+  // the service reported it gone. No entry expires in so short an outage.
   constexpr milliseconds Watch{2000};
   FollowerFixture Short(Watch, milliseconds(60000));
   REQUIRE(Short.runUntil([&] { return Short.isActive("i-1"); }));
@@ -388,18 +386,18 @@
 }
 
 TEST_CASE("an outage is over for a daemon that follows one that reads again") {
-  // Symptom: requests are sent to a server seconds after the service said that
-  // it is gone, minutes after an outage.
-  // Sequence: the service fails; another daemon that reads it is followed; a
-  // server is removed long after; this daemon reads the service again.
-  // Cause: the outage was taken to end with this daemon's own next list.
+  // The service fails, and the daemon follows another one that reads it again.
+  // Long after the outage a server is removed, and this daemon reads the
+  // service again. If the outage ended only with this daemon's own next list,
+  // requests would be sent to the server seconds after the service reported it
+  // gone, even minutes after the outage.
   FollowerFixture Test;
   REQUIRE(Test.runUntil([&] { return Test.isActive("i-1"); }));
   Test.Store_.FailWith_ = 503;
   REQUIRE(Test.runUntil([&] { return !Test.Follower_->platformReachable(); }));
   Test.Follower_->pause();
   Test.Store_.FailWith_ = 0;
-  // Longer than servers that lapsed may take to register again.
+  // Longer than servers whose entries expired may take to register again.
   Test.runFor(milliseconds(300));
   Test.Store_.remove("servers/i-1");
   Test.resume(false);
