--- a/UnitTests/platform/FollowerFleet.h
+++ b/UnitTests/platform/FollowerFleet.h
@@ -187,7 +187,7 @@
   int Parts_ = 0;
   /// The packed size of the whole text to which the last chunk belongs.
   std::size_t PackedSize_ = 0;
-  /// The number of follow requests that ask for separate texts.
+  /// The number of follow requests whose flag for separate texts is set.
   int AskedApart_ = 0;
   /// Simulates that one of the two daemons is of an earlier software version
   /// that does not know separate texts.
--- a/UnitTests/platform/StoreEraModelTest.cpp
+++ b/UnitTests/platform/StoreEraModelTest.cpp
@@ -305,8 +305,7 @@
     case Step::FirstReceives:
       if (!PendingAnswer_)
         return false;
-      Daemons_[0]->applyList(PendingAnswer_->List_,
-                             PendingAnswer_->RequestedAt_);
+      Daemons_[0]->applyList(PendingAnswer_->List_, PendingAnswer_->ListedAt_);
       PendingAnswer_.reset();
       return true;
     case Step::SecondReads:
@@ -345,7 +344,7 @@
 
   struct Answer {
     KeyValueList List_;
-    BootTime RequestedAt_;
+    BootTime ListedAt_;
   };
 
   bool HasIncarnation_;
