--- a/Bench/AdoptionCost.cpp
+++ b/Bench/AdoptionCost.cpp
@@ -222,7 +222,7 @@
   Hooks.LiveShare_ = [&] { return Members.liveShare(); };
   Hooks.IsKeeper_ = [&](const CellId &Cell) {
     std::vector<Member> Candidates = Members.keepers();
-    const Member *Keeper = keeperOf(keptWith(Cell), Candidates);
+    const Member *Keeper = keeperOf(keeperCell(Cell), Candidates);
     return Keeper != nullptr;
   };
   boost::asio::io_context Control;
--- a/Bench/Figures.cpp
+++ b/Bench/Figures.cpp
@@ -24,13 +24,13 @@
          Call.Record_.Total_ <= Call.Deadline_;
 }
 
-TierFigures groupFigures(const std::vector<const MeasuredCall *> &Group,
-                         milliseconds Length) {
-  TierFigures Built;
+GroupFigures groupFigures(const std::vector<const MeasuredCall *> &Group,
+                          milliseconds Length) {
+  GroupFigures Built;
   std::vector<double> FirstTokens;
   std::vector<double> Gaps;
   for (const MeasuredCall *Call : Group) {
-    ++Built.Asked_;
+    ++Built.Requests_;
     if (!isGood(*Call))
       continue;
     ++Built.Good_;
@@ -71,25 +71,25 @@
       const MeasuredCall &Call = *Found->second;
       double Prefilled = Line["prefill"].get<double>();
       Run.PrefillTokens_ += Prefilled;
-      double Own = std::min<double>(Prefilled, Call.OwnTokens_);
+      double Own = std::min<double>(Prefilled, Call.UniqueTokens_);
       if (!isGood(Call)) {
         Run.WastedTokens_ += Prefilled;
         continue;
       }
-      if (Call.File_ >= 0)
-        FilePrefill[Call.File_] += Prefilled - Own;
+      if (Call.SharedFile_ >= 0)
+        FilePrefill[Call.SharedFile_] += Prefilled - Own;
     }
   }
   for (const auto &[File, Prefilled] : FilePrefill) {
-    auto User = std::ranges::find(Calls, File, &MeasuredCall::File_);
+    auto User = std::ranges::find(Calls, File, &MeasuredCall::SharedFile_);
     Run.WastedTokens_ += std::max(0.0, Prefilled - User->FileTokens_);
   }
 }
 
 } // namespace
 
-RunFigures figures(const std::vector<MeasuredCall> &Calls,
-                   const std::string &Folder, milliseconds Length) {
+RunFigures computeFigures(const std::vector<MeasuredCall> &Calls,
+                          const std::string &Folder, milliseconds Length) {
   RunFigures Run;
   std::map<std::string, std::vector<const MeasuredCall *>> Tiers;
   std::map<std::string, std::vector<const MeasuredCall *>> Customers;
--- a/Bench/Figures.h
+++ b/Bench/Figures.h
@@ -18,14 +18,14 @@
   std::string Tier_;
   milliseconds Deadline_{0};
   milliseconds Started_{0}; ///< Since the start of the run.
-  int File_ = -1; ///< Shared file that the prompt starts with; -1: none.
+  int SharedFile_ = -1; ///< Shared file that the prompt starts with; -1: none.
   int FileTokens_ = 0;
-  int OwnTokens_ = 0; ///< Prompt tokens that no other request shares.
+  int UniqueTokens_ = 0; ///< Prompt tokens that no other request shares.
 };
 
 /// Figures of the calls of one tier or one customer.
-struct TierFigures {
-  std::size_t Asked_ = 0;
+struct GroupFigures {
+  std::size_t Requests_ = 0;
   std::size_t Good_ = 0; ///< Answered correctly within the deadline.
   double GoodPerSecond_ = 0;
   double FirstTokenP50Ms_ = 0;
@@ -34,22 +34,22 @@
 };
 
 struct RunFigures {
-  std::map<std::string, TierFigures> Tiers_;
-  std::map<std::string, TierFigures> Customers_;
+  std::map<std::string, GroupFigures> Tiers_;
+  std::map<std::string, GroupFigures> Customers_;
   std::map<int, std::size_t> ByCode_;
   double PrefillTokens_ = 0; ///< Prefilled in total.
   /// Prefilled for calls that were not good, or again for the same shared file.
   double WastedTokens_ = 0;
   std::size_t Violations_ = 0;
 
-  double wastedPart() const {
+  double wastedFraction() const {
     return PrefillTokens_ > 0 ? WastedTokens_ / PrefillTokens_ : 0;
   }
 };
 
 /// Computes the figures of a run that took \p Length. \p Folder contains the
 /// engines' ledgers.
-RunFigures figures(const std::vector<MeasuredCall> &Calls,
-                   const std::string &Folder, milliseconds Length);
+RunFigures computeFigures(const std::vector<MeasuredCall> &Calls,
+                          const std::string &Folder, milliseconds Length);
 
 } // namespace samphireshunt::bench
--- a/Bench/Measure.cpp
+++ b/Bench/Measure.cpp
@@ -58,13 +58,13 @@
 /// A call with the time at which it is due.
 struct PlannedCall {
   milliseconds At_;
-  const Stream *Source_;
+  const LoadStream *Source_;
 };
 
 std::vector<PlannedCall> planCalls(const Scenario &Run, bool WithoutLowest,
                                    pcg32 &Random) {
   std::vector<PlannedCall> Calls;
-  for (const Stream &Source : Run.Streams_) {
+  for (const LoadStream &Source : Run.Streams_) {
     if (WithoutLowest && Source.Tier_ == "bronze")
       continue;
     // Exponential gaps model arrivals from many independent callers.
@@ -72,7 +72,7 @@
     while (true) {
       constexpr double Steps = 1U << 20U;
       double Uniform = (Random(1U << 20U) + 1.0) / (Steps + 1.0);
-      At += -std::log(Uniform) * 1000.0 / Source.PerSecond_;
+      At += -std::log(Uniform) * 1000.0 / Source.RequestsPerSecond_;
       if (At >= static_cast<double>(Source.End_.count()))
         break;
       Calls.push_back({milliseconds(static_cast<std::int64_t>(At)), &Source});
@@ -115,14 +115,15 @@
     EventThread.join();
     for (std::size_t Index = 0; Index < Pending.size(); ++Index)
       Measured[Index].Record_ = Pending[Index].get();
-    RunFigures Figures = figures(Measured, Fleet_.folder(), Scenario_.Length_);
+    RunFigures Figures =
+        computeFigures(Measured, Fleet_.folder(), Scenario_.Length_);
     Figures.Violations_ = Fleet_.violations({.DaemonsKilled_ = true}).size();
     return Figures;
   }
 
 private:
   void runEvents(steady_clock::time_point Started) {
-    for (const Event &Planned : Scenario_.Events_) {
+    for (const ScenarioEvent &Planned : Scenario_.Events_) {
       std::this_thread::sleep_until(Started + Planned.At_);
       Planned.Action_(Fleet_, documentOf(Fleet_));
     }
@@ -130,7 +131,7 @@
 
   CallRequest buildRequest(const PlannedCall &Planned, std::size_t Index,
                            MeasuredCall &Call) {
-    const Stream &Source = *Planned.Source_;
+    const LoadStream &Source = *Planned.Source_;
     int Daemon = 1 + static_cast<int>(Index % Daemons);
     // A load balancer detects a daemon that is down and uses the next one.
     if (!Fleet_.process("vm-" + std::to_string(Daemon)).running())
@@ -141,19 +142,19 @@
     Request.MaxTokens_ = Source.AnswerTokens_;
     Request.Timeout_ = Source.Deadline_;
     Request.Prompt_.clear();
-    if (Source.Files_ > 0) {
-      Call.File_ =
-          static_cast<int>(Random_(static_cast<std::uint32_t>(Source.Files_)));
+    if (Source.SharedFiles_ > 0) {
+      Call.SharedFile_ = static_cast<int>(
+          Random_(static_cast<std::uint32_t>(Source.SharedFiles_)));
       Call.FileTokens_ = Source.FileTokens_;
-      Request.Prompt_ =
-          repeatWord(fmt::format("file {} ", Call.File_), Source.FileTokens_);
+      Request.Prompt_ = repeatWord(fmt::format("file {} ", Call.SharedFile_),
+                                   Source.FileTokens_);
     }
     Request.Prompt_ += repeatWord(Request.Nonce_ + " ", Source.PromptTokens_);
     Call.Customer_ = Source.Customer_;
     Call.Tier_ = Source.Tier_;
     Call.Deadline_ = Source.Deadline_;
     Call.Started_ = Planned.At_;
-    Call.OwnTokens_ = Source.PromptTokens_ + 1;
+    Call.UniqueTokens_ = Source.PromptTokens_ + 1;
     return Request;
   }
 
@@ -180,7 +181,7 @@
 void printRun(const std::string &Name, const RunFigures &Run) {
   for (const auto &[Tier, Figures] : Run.Tiers_)
     fmt::print("| {} | {} | {} | {} | {:.1f} | {:.0f} | {:.0f} | {:.0f} |\n",
-               Name, Tier, Figures.Asked_, Figures.Good_,
+               Name, Tier, Figures.Requests_, Figures.Good_,
                Figures.GoodPerSecond_, Figures.FirstTokenP50Ms_,
                Figures.FirstTokenP95Ms_, Figures.GapP95Ms_);
   std::string Codes;
@@ -189,11 +190,11 @@
   std::string ByCustomer;
   for (const auto &[Customer, Figures] : Run.Customers_)
     ByCustomer +=
-        fmt::format(" {} {}/{}", Customer, Figures.Good_, Figures.Asked_);
+        fmt::format(" {} {}/{}", Customer, Figures.Good_, Figures.Requests_);
   fmt::print("| {} | all | customers{} | not good by code{} | wasted prefill "
              "{:.0f} of {:.0f} tokens ({:.1f} %) | violations {} | | |\n",
              Name, ByCustomer, Codes, Run.WastedTokens_, Run.PrefillTokens_,
-             100 * Run.wastedPart(), Run.Violations_);
+             100 * Run.wastedFraction(), Run.Violations_);
   std::fflush(stdout);
 }
 
--- a/Bench/MembershipFleet.cpp
+++ b/Bench/MembershipFleet.cpp
@@ -77,7 +77,7 @@
   SimulatedFleet Fleet(Count, Options);
   Fleet.runFor(QuietTime);
   auto Seconds = static_cast<std::uint64_t>(QuietTime.count());
-  return {Fleet.falseSuspicions(), Fleet.falselyDead(),
+  return {Fleet.falseSuspicions(), Fleet.falseDeaths(),
           Fleet.bytesSent() / Count / Seconds};
 }
 
--- a/Bench/Scenario.cpp
+++ b/Bench/Scenario.cpp
@@ -16,29 +16,29 @@
 constexpr double Capacity = 150;
 constexpr milliseconds WholeRun{8000};
 
-Stream defaultStream(const std::string &Customer, const std::string &Tier,
-                     double CapacityFraction) {
-  Stream Built;
+LoadStream defaultStream(const std::string &Customer, const std::string &Tier,
+                         double CapacityFraction) {
+  LoadStream Built;
   Built.Customer_ = Customer;
   Built.Tier_ = Tier;
-  Built.PerSecond_ = CapacityFraction * Capacity;
+  Built.RequestsPerSecond_ = CapacityFraction * Capacity;
   Built.End_ = WholeRun;
   return Built;
 }
 
 /// \returns streams of all tiers that add up to \p Load times the capacity.
-std::vector<Stream> allTiers(double Load) {
+std::vector<LoadStream> allTiers(double Load) {
   return {defaultStream("alpha", "gold", 0.2 * Load),
           defaultStream("beta", "silver", 0.3 * Load),
           defaultStream("gamma", "bronze", 0.5 * Load)};
 }
 
-Event fault(milliseconds At, std::string Name, Json Body) {
+ScenarioEvent fault(milliseconds At, std::string Name, Json Body) {
   return {At, [=](Cluster &Fleet, Json) { Fleet.faults(Name, Body); }};
 }
 
 Scenario overloaded(std::string Name, std::string Description,
-                    std::vector<Event> Events) {
+                    std::vector<ScenarioEvent> Events) {
   Scenario Built;
   Built.Name_ = std::move(Name);
   Built.Description_ = std::move(Description);
@@ -50,10 +50,10 @@
 Scenario bursts() {
   Scenario Built = overloaded("bursts", "bronze burst, then gold burst", {});
   Built.Streams_ = allTiers(0.6);
-  Stream Low = defaultStream("gamma", "bronze", 3.0);
+  LoadStream Low = defaultStream("gamma", "bronze", 3.0);
   Low.Begin_ = milliseconds(1000);
   Low.End_ = milliseconds(4000);
-  Stream High = defaultStream("alpha", "gold", 0.7);
+  LoadStream High = defaultStream("alpha", "gold", 0.7);
   High.Begin_ = milliseconds(3000);
   High.End_ = milliseconds(6000);
   Built.Streams_.push_back(Low);
@@ -71,11 +71,11 @@
 
 Scenario longShort() {
   Scenario Built = overloaded("long-short", "some a hundred times longer", {});
-  Stream Long = defaultStream("gamma", "bronze", 0.02);
+  LoadStream Long = defaultStream("gamma", "bronze", 0.02);
   Long.AnswerTokens_ = 1000;
   Long.PromptTokens_ = 4000;
   Long.Deadline_ = milliseconds(30000);
-  Stream Short = defaultStream("alpha", "gold", 2.0);
+  LoadStream Short = defaultStream("alpha", "gold", 2.0);
   Short.AnswerTokens_ = 5;
   Short.PromptTokens_ = 40;
   Short.Deadline_ = milliseconds(1000);
@@ -85,12 +85,12 @@
 
 Scenario prefixes() {
   Scenario Built = overloaded("prefixes", "long shared files, few engines", {});
-  Stream Files = defaultStream("alpha", "gold", 0.25);
-  Files.Files_ = 12;
+  LoadStream Files = defaultStream("alpha", "gold", 0.25);
+  Files.SharedFiles_ = 12;
   Files.FileTokens_ = 4000;
   Files.AnswerTokens_ = 10;
   Files.Deadline_ = milliseconds(3000);
-  Stream More = Files;
+  LoadStream More = Files;
   More.Customer_ = "beta";
   More.Tier_ = "silver";
   Built.Streams_ = {Files, More};
@@ -129,7 +129,7 @@
                       Fleet.process(*Keeper).freeze();
                     }},
                    {milliseconds(5000), [Keeper](Cluster &Fleet, Json) {
-                      Fleet.process(*Keeper).wake();
+                      Fleet.process(*Keeper).resume();
                     }}};
   return Built;
 }
--- a/Bench/SchedulerCost.cpp
+++ b/Bench/SchedulerCost.cpp
@@ -15,8 +15,8 @@
 constexpr std::uint32_t Tiers = 5;
 constexpr int CustomerCount = 100;
 
-AskedRequest request(std::uint64_t Number, TimePoint Now) {
-  AskedRequest Asked;
+GrantRequest request(std::uint64_t Number, TimePoint Now) {
+  GrantRequest Asked;
   Asked.Id_ = {1, Number};
   Asked.Tier_ = TierIndex(static_cast<std::uint32_t>(Number % Tiers));
   Asked.Customer_ = CustomerName(fmt::format("c{}", Number % CustomerCount));
@@ -45,14 +45,14 @@
   };
   auto Depth = static_cast<std::size_t>(State.range(0));
   while (Cell.waiting() < Depth) {
-    Cell.ask(request(Next++, Now), Now);
+    Cell.requestGrant(request(Next++, Now), Now);
     Decide();
   }
   std::size_t Oldest = 0;
   for (auto Step : State) {
     (void)Step;
     Cell.done(Running[Oldest++], ServedSample(), Now);
-    Cell.ask(request(Next++, Now), Now);
+    Cell.requestGrant(request(Next++, Now), Now);
     Decide();
   }
 }
--- a/Bench/StoreEraFleet.cpp
+++ b/Bench/StoreEraFleet.cpp
@@ -122,9 +122,10 @@
     };
     Hooks.Send_ = Forward;
     Hooks.Reply_ = Forward;
-    Hooks.Choose_ = [Chosen = chooseReaders(Self, Members_, DaemonsPerReader)] {
-      return Chosen;
-    };
+    Hooks.ChooseReaders_ =
+        [Chosen = chooseReaders(Self, Members_, DaemonsPerReader)] {
+          return Chosen;
+        };
     Index_[Self.Id_] = Daemons_.size();
     Daemons_.push_back(
         std::make_unique<StoreDaemon>(Context_, Store_, defaultSettings()));
@@ -139,9 +140,9 @@
     if (const auto *Follow = Decoded.body.AsFollow())
       Peers.onFollow(From, *Follow);
     else if (const auto *Text = Decoded.body.AsTextAsk())
-      Peers.onTextAsk(From, *Text);
+      Peers.onTextRequest(From, *Text);
     else if (const auto *Part = Decoded.body.AsTextPart())
-      Peers.onTextPart(From, *Part);
+      Peers.onTextChunk(From, *Part);
     else if (const auto *State = Decoded.body.AsState())
       Peers.onState(From, *State);
   }
@@ -153,7 +154,7 @@
 
 void measure(std::size_t Count, bool FromOlderCopy) {
   BenchFleet Fleet(Count);
-  Fleet.Store_.takeCopy();
+  Fleet.Store_.takeBackup();
   Fleet.Store_.put("op/config", configuration(2));
   Fleet.runFor(seconds(3));
   std::size_t Following = Fleet.following();
@@ -163,7 +164,7 @@
   Fleet.runFor(OutageTime);
   Fleet.Store_.FailWith_ = 0;
   if (FromOlderCopy)
-    Fleet.Store_.restoreCopy();
+    Fleet.Store_.restoreBackup();
   Fleet.writeServers();
   Fleet.Store_.put("op/config", configuration(3));
   auto RestoredAt = steady_clock::now();
--- a/FailureTests/ChildProcess.cpp
+++ b/FailureTests/ChildProcess.cpp
@@ -102,7 +102,7 @@
 void ChildProcess::signal(int Number) {
   if (Pid_ <= 0)
     return;
-  Sent_.insert(Number);
+  SentSignals_.insert(Number);
   ::kill(Pid_, Number);
 }
 
@@ -114,11 +114,11 @@
   signal(SIGKILL);
   int Status = 0;
   ::waitpid(Pid_, &Status, 0);
-  checkEnd(Status);
+  checkExit(Status);
 }
 
 void ChildProcess::freeze() { signal(SIGSTOP); }
-void ChildProcess::wake() { signal(SIGCONT); }
+void ChildProcess::resume() { signal(SIGCONT); }
 
 int ChildProcess::wait() {
   if (Pid_ <= 0)
@@ -126,7 +126,7 @@
   int Status = 0;
   ::waitpid(Pid_, &Status, 0);
   if (!WIFEXITED(Status)) {
-    checkEnd(Status);
+    checkExit(Status);
     return -1;
   }
   reap(Status);
@@ -139,14 +139,15 @@
   return exitDescription(Status);
 }
 
-bool ChildProcess::askedToEnd() const {
-  return Sent_.contains(SIGTERM) || Sent_.contains(SIGINT);
+bool ChildProcess::terminationRequested() const {
+  return SentSignals_.contains(SIGTERM) || SentSignals_.contains(SIGINT);
 }
 
-void ChildProcess::checkEnd(int Status) {
+void ChildProcess::checkExit(int Status) {
   std::string Description = reap(Status);
-  bool Expected = WIFEXITED(Status) ? WEXITSTATUS(Status) == 0 && askedToEnd()
-                                    : Sent_.contains(WTERMSIG(Status));
+  bool Expected = WIFEXITED(Status)
+                      ? WEXITSTATUS(Status) == 0 && terminationRequested()
+                      : SentSignals_.contains(WTERMSIG(Status));
   if (!Expected)
     return testHooks().Fail_(describe("ended by itself: " + Description));
   // The process may already have been failing when the test ended it, so its
--- a/FailureTests/ChildProcess.h
+++ b/FailureTests/ChildProcess.h
@@ -38,7 +38,7 @@
   void signal(int Number);
   void kill();
   void freeze();
-  void wake();
+  void resume();
   /// Waits for the process to end. The caller has to check the exit status; a
   /// death by a signal that the test did not send fails the test.
   /// \returns the exit status, or -1 if a signal ended the process.
@@ -48,8 +48,8 @@
 private:
   /// Marks the process as ended. \returns a description of the wait \p Status.
   std::string reap(int Status);
-  bool askedToEnd() const;
-  void checkEnd(int Status);
+  bool terminationRequested() const;
+  void checkExit(int Status);
   void checkReports() const;
   std::string describe(const std::string &Problem) const;
 
@@ -60,7 +60,7 @@
   std::size_t LogBegin_ = 0;
   pid_t Pid_ = -1;
   int Output_ = -1;
-  std::set<int> Sent_; ///< Signals that the test sent.
+  std::set<int> SentSignals_; ///< Signals that the test sent.
 };
 
 } // namespace samphireshunt::tests
--- a/FailureTests/Cluster.cpp
+++ b/FailureTests/Cluster.cpp
@@ -42,7 +42,7 @@
   auto &Started = Processes_[Name];
   Started =
       std::make_unique<ChildProcess>(Command, folder() + "/" + Name + ".log");
-  Lines_[Name] = Started->readLine();
+  StartupLines_[Name] = Started->readLine();
 }
 
 void Cluster::startRelay(const std::string &Name) {
@@ -52,8 +52,8 @@
   Started = std::make_unique<ChildProcess>(
       std::vector<std::string>{STANDIN_FOLDER "/standin_Relay"},
       folder() + "/" + Name + ".log");
-  RelayLines_[Name] = Started->readLine();
-  Lines_[Name] = Started->readLine();
+  RelayStartupLines_[Name] = Started->readLine();
+  StartupLines_[Name] = Started->readLine();
 }
 
 void Cluster::startEngines() {
@@ -85,7 +85,7 @@
     std::string PlatformRelay = fmt::format("platform-relay-{}", Number);
     startRelay(PlatformRelay);
     faults(PlatformRelay, {{"mode", "pass"}, {"target", Platform}});
-    Platform = RelayLines_[PlatformRelay]["address"].get<std::string>();
+    Platform = RelayStartupLines_[PlatformRelay]["address"].get<std::string>();
   }
   std::vector<std::string> Command = {PROGRAM_FOLDER "/samphireshuntd",
                                       "--vm_id=" + Name,
@@ -100,11 +100,12 @@
   std::string RelayName = fmt::format("relay-{}", Number);
   if (Options_.Relays_) {
     startRelay(RelayName);
-    Command.push_back("--advertise_peers=" +
-                      RelayLines_[RelayName]["address"].get<std::string>());
+    Command.push_back(
+        "--advertise_peers=" +
+        RelayStartupLines_[RelayName]["address"].get<std::string>());
   }
   // A restarted VM reuses its previous addresses.
-  if (auto Previous = Lines_.find(Name); Previous != Lines_.end())
+  if (auto Previous = StartupLines_.find(Name); Previous != StartupLines_.end())
     for (std::string Field : {"callers", "peers", "operators"})
       Command.push_back(
           fmt::format("--{}_address={}", Field,
@@ -113,16 +114,18 @@
   Processes_[Name].reset();
   startProcess(Name, std::move(Command));
   if (Options_.Relays_)
-    faults(RelayName, {{"mode", "pass"}, {"target", Lines_[Name]["peers"]}});
+    faults(RelayName,
+           {{"mode", "pass"}, {"target", StartupLines_[Name]["peers"]}});
 }
 
 void Cluster::listVms() {
   Json Vms = Json::array();
-  for (const auto &[Name, Line] : Lines_) {
+  for (const auto &[Name, Line] : StartupLines_) {
     if (Name.starts_with("vm-")) {
-      auto Relayed = RelayLines_.find("relay-" + Name.substr(3));
-      Json Peers = Relayed == RelayLines_.end() ? Line["peers"]
-                                                : Relayed->second["address"];
+      auto Relayed = RelayStartupLines_.find("relay-" + Name.substr(3));
+      Json Peers = Relayed == RelayStartupLines_.end()
+                       ? Line["peers"]
+                       : Relayed->second["address"];
       Vms.push_back({{"id", Name},
                      {"role", "system"},
                      {"state", "live"},
@@ -147,7 +150,7 @@
 
 std::string Cluster::address(const std::string &Name,
                              const std::string &Field) const {
-  return Lines_.at(Name).at(Field).get<std::string>();
+  return StartupLines_.at(Name).at(Field).get<std::string>();
 }
 
 Endpoint Cluster::callersAddress(int Daemon) const {
@@ -199,7 +202,7 @@
 Json Cluster::document() const {
   Json Models = Json::array();
   Json Applications = Json::array();
-  for (const auto &[Name, Line] : Lines_) {
+  for (const auto &[Name, Line] : StartupLines_) {
     Json Server = {{"name", Name},
                    {"address", Line.value("address", "")},
                    {"dataCenter", "latacunga"},
@@ -317,7 +320,7 @@
     throw std::runtime_error("the cluster did not become ready: " + Problem);
 }
 
-CallRequest Cluster::base(int Daemon) {
+CallRequest Cluster::baseRequest(int Daemon) {
   CallRequest Request;
   Request.Target_ = callersAddress(Daemon);
   Request.Host_ = Host;
@@ -329,23 +332,23 @@
   return Request;
 }
 
-CallRequest Cluster::chat(int Daemon) { return base(Daemon); }
+CallRequest Cluster::chat(int Daemon) { return baseRequest(Daemon); }
 
 CallRequest Cluster::stream(int Daemon) {
-  CallRequest Request = base(Daemon);
+  CallRequest Request = baseRequest(Daemon);
   Request.Mode_ = CallMode::Stream;
   return Request;
 }
 
 CallRequest Cluster::reading(int Daemon) {
-  CallRequest Request = base(Daemon);
+  CallRequest Request = baseRequest(Daemon);
   Request.Mode_ = CallMode::Application;
   Request.Path_ = "/readings/7";
   return Request;
 }
 
 CallRequest Cluster::note(int Daemon, const std::string &IdempotencyKey) {
-  CallRequest Request = base(Daemon);
+  CallRequest Request = baseRequest(Daemon);
   Request.Mode_ = CallMode::Application;
   Request.Path_ = "/notes";
   Request.IdempotencyKey_ = IdempotencyKey;
@@ -395,7 +398,7 @@
 
 std::vector<std::string> Cluster::violations(standins::CheckOptions Allowed) {
   std::scoped_lock Lock(Mutex_);
-  return standins::check(Calls_, ledger(), Allowed);
+  return standins::findViolations(Calls_, ledger(), Allowed);
 }
 
 bool eventually(const std::function<bool()> &Condition, milliseconds Limit) {
--- a/FailureTests/Cluster.h
+++ b/FailureTests/Cluster.h
@@ -119,13 +119,13 @@
   void startEngines();
   std::string address(const std::string &Name,
                       const std::string &Field = "address") const;
-  CallRequest base(int Daemon);
+  CallRequest baseRequest(int Daemon);
 
   ClusterOptions Options_;
   TestFolder Folder_;
   std::map<std::string, std::unique_ptr<ChildProcess>> Processes_;
-  std::map<std::string, Json> Lines_;
-  std::map<std::string, Json> RelayLines_;
+  std::map<std::string, Json> StartupLines_;
+  std::map<std::string, Json> RelayStartupLines_;
   std::vector<std::string> LeavingServers_;
   std::mutex Mutex_;
   std::vector<CallRecord> Calls_;
--- a/FailureTests/CombinedTest.cpp
+++ b/FailureTests/CombinedTest.cpp
@@ -66,7 +66,7 @@
   Fleet.process(Name).freeze();
   Load.send(15);
   std::this_thread::sleep_for(milliseconds(700));
-  Fleet.process(Name).wake();
+  Fleet.process(Name).resume();
 }
 
 void restartDaemon(Cluster &Fleet, MixedLoad &Load) {
--- a/FailureTests/DispatchOnceTest.cpp
+++ b/FailureTests/DispatchOnceTest.cpp
@@ -105,7 +105,7 @@
   std::string Name = fmt::format("vm-{}", Keeper);
   Fleet.process(Name).freeze();
   REQUIRE(eventually([&] { return Fleet.ledgerCount("ran") >= 6; }));
-  Fleet.process(Name).wake();
+  Fleet.process(Name).resume();
   auto Records = finish(Calls);
   CHECK(countOutcome(Records, "answered") == 12);
   CHECK_MESSAGE(Fleet.violations().empty(), joined(Fleet.violations()));
@@ -141,7 +141,7 @@
   REQUIRE(Fleet.ledgerCount("received") == 1);
   CHECK(First.get().Outcome_ == "answered");
   std::this_thread::sleep_for(milliseconds(4200)); // The deadlines pass.
-  Fleet.process(Name).wake();
+  Fleet.process(Name).resume();
   auto Records = finish(Calls);
   CHECK(countOutcome(Records, "not-run") == 4);
   CHECK(Fleet.ledgerCount("received") == 1);
--- a/FailureTests/DoctestHooks.cpp
+++ b/FailureTests/DoctestHooks.cpp
@@ -24,7 +24,7 @@
 public:
   explicit FolderCleanup(const doctest::ContextOptions &) {
     testHooks().Fail_ = [](const std::string &Problem) { FAIL_CHECK(Problem); };
-    testHooks().LeaveFolder_ = [this](const std::string &Path) {
+    testHooks().ReleaseFolder_ = [this](const std::string &Path) {
       Folders_.push_back(Path);
     };
   }
--- a/FailureTests/LeavingTest.cpp
+++ b/FailureTests/LeavingTest.cpp
@@ -152,7 +152,7 @@
     Calls.push_back(Fleet.start(Fleet.chat(1)));
   // The pause is long enough for the stop to become due during it.
   std::this_thread::sleep_for(milliseconds(1000));
-  Stopping.wake();
+  Stopping.resume();
   auto Records = finish(Calls);
   CHECK_MESSAGE(countOutcome(Records, "answered") == 12, unanswered(Records));
   CHECK(Stopping.wait() == 0);
--- a/FailureTests/NonIdempotentTest.cpp
+++ b/FailureTests/NonIdempotentTest.cpp
@@ -158,7 +158,7 @@
     Fleet.faults("platform", Json::object());
     CallRecord Retry = Fleet.run(Fleet.note(2, Key));
     CHECK((Retry.Outcome_ == "answered" || Retry.Outcome_ == "unknown"));
-    Fleet.process("vm-1").wake();
+    Fleet.process("vm-1").resume();
     First.get();
     CHECK(runCount(Fleet, Key) == 1);
   }
--- a/FailureTests/PartitionTest.cpp
+++ b/FailureTests/PartitionTest.cpp
@@ -103,7 +103,7 @@
   REQUIRE(eventually([&] { return Fleet.ledgerCount("ran") > 0; }));
   Paused.freeze();
   auto OtherRecords = finish(OtherCalls);
-  Paused.wake();
+  Paused.resume();
   CHECK_MESSAGE(countOutcome(OtherRecords, "answered") == 2 * CallsPerDaemon,
                 unanswered(OtherRecords));
   auto KeeperRecords = finish(KeeperCalls);
--- a/FailureTests/TestFolder.cpp
+++ b/FailureTests/TestFolder.cpp
@@ -26,7 +26,7 @@
     throw std::runtime_error("cannot create a temporary folder");
 }
 
-TestFolder::~TestFolder() { testHooks().LeaveFolder_(Path_); }
+TestFolder::~TestFolder() { testHooks().ReleaseFolder_(Path_); }
 
 std::string logTail(const std::string &Path, std::size_t Begin) {
   std::ifstream Log(Path);
--- a/FailureTests/TestFolder.h
+++ b/FailureTests/TestFolder.h
@@ -7,7 +7,7 @@
 namespace samphireshunt::tests {
 
 /// Creates a temporary folder on construction and throws std::runtime_error if
-/// that fails. The destructor passes it to TestHooks::LeaveFolder_, which
+/// that fails. The destructor passes it to TestHooks::ReleaseFolder_, which
 /// removes or retains it depending on whether the test failed.
 class TestFolder {
 public:
--- a/FailureTests/TestHooks.h
+++ b/FailureTests/TestHooks.h
@@ -13,7 +13,7 @@
   /// stderr.
   std::function<void(const std::string &Problem)> Fail_;
   /// Takes over a folder that is no longer used. The default removes it.
-  std::function<void(const std::string &Path)> LeaveFolder_;
+  std::function<void(const std::string &Path)> ReleaseFolder_;
 };
 
 /// \returns the hooks of this program.
--- a/FailureTests/platform/SoakWorld.cpp
+++ b/FailureTests/platform/SoakEnvironment.cpp
@@ -1,4 +1,4 @@
-#include "FailureTests/platform/SoakWorld.h"
+#include "FailureTests/platform/SoakEnvironment.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -87,19 +87,19 @@
 
 } // namespace
 
-struct SoakWorld::Engine {
+struct SoakEnvironment::Engine {
   std::string Id_;
   std::unique_ptr<HttpServer> Server_;
   Time Leaving_;
-  bool Gone_ = false;
+  bool Removed_ = false;
 };
 
-SoakWorld::SoakWorld(std::uint64_t Seed)
+SoakEnvironment::SoakEnvironment(std::uint64_t Seed)
     : Random_(Seed), Store_(Context_), Daemons_(DaemonCount) {
   for (int Number = 1; Number <= 6; ++Number) {
     std::string Key = fmt::format("key-{}", Number);
     ActiveKeys_.insert(Key);
-    OwnerOf_[Key] = fmt::format("customer-{}", 1 + Number % 2);
+    CustomerByKey_[Key] = fmt::format("customer-{}", 1 + Number % 2);
   }
   writeConfiguration();
   for (int Number = 0; Number < 4; ++Number)
@@ -110,12 +110,12 @@
   });
 }
 
-SoakWorld::~SoakWorld() {
+SoakEnvironment::~SoakEnvironment() {
   Context_.stop();
   Thread_.join();
 }
 
-void SoakWorld::run(std::function<void()> Work) {
+void SoakEnvironment::run(std::function<void()> Work) {
   std::promise<void> Done;
   asio::post(Context_, [&] {
     Work();
@@ -124,14 +124,14 @@
   Done.get_future().wait();
 }
 
-Endpoint SoakWorld::storeAddress() { return Store_.address(); }
+Endpoint SoakEnvironment::storeAddress() { return Store_.address(); }
 
-void SoakWorld::writeConfiguration() {
+void SoakEnvironment::writeConfiguration() {
   Json Customers = Json::array();
   for (const char *Name : {"customer-1", "customer-2"}) {
     Json Keys = Json::array();
     for (const std::string &Key : ActiveKeys_)
-      if (OwnerOf_[Key] == Name)
+      if (CustomerByKey_[Key] == Name)
         Keys.push_back(Key);
     Customers.push_back({{"name", Name}, {"api-keys", Keys}});
   }
@@ -149,7 +149,7 @@
   Store_.put("op/config", Configuration_);
 }
 
-void SoakWorld::addEngine() {
+void SoakEnvironment::addEngine() {
   auto Added = std::make_unique<Engine>();
   Engine &Self = *Added;
   Self.Id_ = fmt::format("i-{}", NextId_++);
@@ -164,7 +164,7 @@
   publish(Self);
 }
 
-void SoakWorld::publish(const Engine &Target) {
+void SoakEnvironment::publish(const Engine &Target) {
   bool Leaving = Target.Leaving_ != Time();
   Json Entry = {{"service", "engines"},
                 {"address", formatEndpoint(Target.Server_->address())},
@@ -178,19 +178,19 @@
   Store_.put("servers/" + Target.Id_, Entry.dump());
 }
 
-Awaitable<void> SoakWorld::sleep(milliseconds Time) {
+Awaitable<void> SoakEnvironment::sleep(milliseconds Time) {
   asio::steady_timer Timer(Context_, Time);
   co_await Timer.async_wait(asio::use_awaitable);
 }
 
-Awaitable<void> SoakWorld::serve(Engine &Self, HttpExchange &Exchange) {
+Awaitable<void> SoakEnvironment::serve(Engine &Self, HttpExchange &Exchange) {
   const HttpRequest &Request = Exchange.request();
   std::string CallId = Request.field("x-samphireshunt-request-id");
   HttpResponse Answer;
   Answer.Fields_["x-samphireshunt-request-id"] = CallId;
   bool WrongInstance =
       Request.field("x-samphireshunt-expect-instance") != Self.Id_;
-  bool Refuses = Misbehave_ && pick(Percent) < 5;
+  bool Refuses = EngineFaults_ && pick(Percent) < 5;
   if (WrongInstance || Refuses) {
     Answer.Status_ = WrongInstance ? 421 : 503;
     Answer.Fields_["x-samphireshunt-not-executed"] = "1";
@@ -200,7 +200,7 @@
   auto Now = steady_clock::now();
   bool PastDrainBound =
       Self.Leaving_ != Time() && Now - Self.Leaving_ > DrainBound;
-  if (PastDrainBound && Now - StoreTroubled_ > FaultFreeStoreTime &&
+  if (PastDrainBound && Now - LastStoreFault_ > FaultFreeStoreTime &&
       !excusedByPause(CallId, Self.Leaving_) &&
       !excusedByCopy(CallId, Self.Leaving_))
     Violations_.push_back(CallId +
@@ -209,27 +209,28 @@
     Violations_.push_back(CallId + ": the key was forwarded to the engine");
   Runs_.push_back(
       {CallId, Self.Id_, Request.field("x-samphireshunt-tenant"), Now});
-  ++RunsOf_[CallId];
+  ++RunCounts_[CallId];
   bool Stream = Request.path().starts_with("/stream") ||
                 Request.path().starts_with("/resumable");
-  if (Misbehave_ && pick(Percent) < 4)
+  if (EngineFaults_ && pick(Percent) < 4)
     co_return Exchange.abort();
-  if (Misbehave_ && pick(Percent) < 5)
+  if (EngineFaults_ && pick(Percent) < 5)
     co_await sleep(milliseconds(pick(900)));
   if (Stream)
     co_return co_await serveStream(Self, Exchange, std::move(CallId));
   co_await sleep(milliseconds(2 + pick(20)));
   Answer.Fields_["x-samphireshunt-server-stamp"] = Self.Id_;
   Answer.Body_ = "answer to " + CallId;
-  if (Misbehave_ && pick(Percent) < 5)
+  if (EngineFaults_ && pick(Percent) < 5)
     Answer.Status_ = 500;
-  if (Misbehave_ && pick(Percent) < 3)
+  if (EngineFaults_ && pick(Percent) < 3)
     Answer.Fields_["x-samphireshunt-request-id"] = "another";
   co_await Exchange.respond(std::move(Answer));
 }
 
-Awaitable<void> SoakWorld::serveStream(Engine &Self, HttpExchange &Exchange,
-                                       std::string CallId) {
+Awaitable<void> SoakEnvironment::serveStream(Engine &Self,
+                                             HttpExchange &Exchange,
+                                             std::string CallId) {
   std::string After = Exchange.request().field("last-event-id");
   HttpResponse Head;
   Head.Fields_["x-samphireshunt-request-id"] = CallId;
@@ -240,7 +241,7 @@
   for (int Number = First; Open && Number <= EventCount; ++Number) {
     co_await sleep(milliseconds(2 + pick(15)));
     std::string Event = eventText(CallId, Number);
-    bool Cut = Misbehave_ && pick(Percent) < 2;
+    bool Cut = EngineFaults_ && pick(Percent) < 2;
     if (Cut)
       Event.resize(Event.size() / 2);
     Open = co_await Exchange.writeChunk(std::move(Event));
@@ -251,7 +252,8 @@
     co_await Exchange.endStream();
 }
 
-void SoakWorld::setDaemon(std::size_t Index, std::optional<Endpoint> Callers) {
+void SoakEnvironment::setDaemon(std::size_t Index,
+                                std::optional<Endpoint> Callers) {
   run([&] {
     Daemons_.at(Index) = Callers;
     if (Callers)
@@ -259,10 +261,10 @@
   });
 }
 
-void SoakWorld::startCallers(int Count) {
+void SoakEnvironment::startCallers(int Count) {
   run([&] {
-    CallersRun_ = true;
-    CallersLeft_ = Count;
+    CallersRunning_ = true;
+    ActiveCallers_ = Count;
     for (int Number = 0; Number < Count; ++Number) {
       auto Caller = [this, Number]() {
         return caller(static_cast<std::uint64_t>(Number));
@@ -272,11 +274,11 @@
   });
 }
 
-void SoakWorld::stopCallers() {
-  run([&] { CallersRun_ = false; });
+void SoakEnvironment::stopCallers() {
+  run([&] { CallersRunning_ = false; });
   auto ActiveCallers = [this] {
     int Count = 0;
-    run([&] { Count = CallersLeft_; });
+    run([&] { Count = ActiveCallers_; });
     return Count;
   };
   while (ActiveCallers() > 0)
@@ -285,10 +287,10 @@
 
 /// Sends requests until stopCallers(). A caller reuses its connection until
 /// that is closed.
-Awaitable<void> SoakWorld::caller(std::uint64_t) {
+Awaitable<void> SoakEnvironment::caller(std::uint64_t) {
   std::unique_ptr<HttpConnection> Connection;
   Endpoint ConnectedTo;
-  while (CallersRun_) {
+  while (CallersRunning_) {
     co_await sleep(milliseconds(5 + pick(40)));
     auto Daemon = Daemons_[pick(static_cast<std::uint32_t>(Daemons_.size()))];
     if (!Daemon)
@@ -302,16 +304,16 @@
         co_await callOnce(Kind, std::move(Key), std::move(To), Connection);
     Calls_.push_back(std::move(Seen));
   }
-  --CallersLeft_;
+  --ActiveCallers_;
 }
 
 Awaitable<SoakCall>
-SoakWorld::callOnce(SoakKind Kind, std::string Key, Endpoint To,
-                    std::unique_ptr<HttpConnection> &Connection) {
+SoakEnvironment::callOnce(SoakKind Kind, std::string Key, Endpoint To,
+                          std::unique_ptr<HttpConnection> &Connection) {
   constexpr milliseconds Limit{3000};
   SoakCall Seen;
   Seen.Id_ = fmt::format("c-{}", NextId_++);
-  SentTo_[Seen.Id_] = To;
+  DaemonByCall_[Seen.Id_] = To;
   Seen.Kind_ = Kind;
   Seen.Key_ = Key;
   HttpRequest Request;
@@ -347,23 +349,24 @@
   co_return Seen;
 }
 
-void SoakWorld::notePause(std::size_t Index) {
+void SoakEnvironment::recordPause(std::size_t Index) {
   run([&] {
     if (Daemons_.at(Index))
       Pauses_[*Daemons_[Index]] = {steady_clock::now(), Time()};
   });
 }
 
-void SoakWorld::noteWake(std::size_t Index) {
+void SoakEnvironment::recordResume(std::size_t Index) {
   run([&] {
     if (Daemons_.at(Index))
       Pauses_[*Daemons_[Index]].End_ = steady_clock::now();
   });
 }
 
-bool SoakWorld::excusedByPause(const std::string &CallId, Time Since) const {
-  auto Daemon = SentTo_.find(CallId);
-  if (Daemon == SentTo_.end())
+bool SoakEnvironment::excusedByPause(const std::string &CallId,
+                                     Time Since) const {
+  auto Daemon = DaemonByCall_.find(CallId);
+  if (Daemon == DaemonByCall_.end())
     return false;
   auto Found = Pauses_.find(Daemon->second);
   if (Found == Pauses_.end())
@@ -374,69 +377,70 @@
          steady_clock::now() - Last.End_ <= DrainBound;
 }
 
-void SoakWorld::failStore(int Status) {
+void SoakEnvironment::failStore(int Status) {
   run([&] {
     Store_.FailWith_ = Status;
-    StoreTroubled_ = steady_clock::now();
+    LastStoreFault_ = steady_clock::now();
   });
 }
 
-void SoakWorld::silenceStore(bool Silent) {
+void SoakEnvironment::silenceStore(bool Silent) {
   run([&] {
     Store_.Silent_ = Silent;
-    StoreTroubled_ = steady_clock::now();
+    LastStoreFault_ = steady_clock::now();
   });
 }
 
-void SoakWorld::dropHistory() {
+void SoakEnvironment::dropHistory() {
   run([&] { Store_.dropHistory(); });
 }
 
-void SoakWorld::takeStoreCopy() {
-  run([&] { Store_.takeCopy(); });
+void SoakEnvironment::takeStoreCopy() {
+  run([&] { Store_.takeBackup(); });
 }
 
-void SoakWorld::comeBackFromCopy(milliseconds Away) {
+void SoakEnvironment::restoreFromCopy(milliseconds Away) {
   run([&] {
-    auto Restore = [this, Away]() { return restoreCopy(Away); };
+    auto Restore = [this, Away]() { return restoreBackup(Away); };
     asio::co_spawn(Context_, std::move(Restore), asio::detached);
   });
 }
 
-Awaitable<void> SoakWorld::restoreCopy(milliseconds Away) {
+Awaitable<void> SoakEnvironment::restoreBackup(milliseconds Away) {
   Store_.FailWith_ = 503;
   co_await sleep(Away);
   Store_.FailWith_ = 0;
-  Store_.restoreCopy();
+  Store_.restoreBackup();
   CopyRestored_ = steady_clock::now();
   co_await sleep(milliseconds(pick(1000)));
   Store_.put("op/config", Configuration_);
   for (std::size_t Index = 0; Index < Engines_.size(); ++Index) {
-    if (Engines_[Index]->Gone_)
+    if (Engines_[Index]->Removed_)
       continue;
     publish(*Engines_[Index]);
     co_await sleep(milliseconds(pick(100)));
   }
   co_await sleep(SilentEntryTime);
   for (const auto &Known : Engines_)
-    if (Known->Gone_ && !Store_.get("servers/" + Known->Id_).empty())
+    if (Known->Removed_ && !Store_.get("servers/" + Known->Id_).empty())
       Store_.remove("servers/" + Known->Id_);
 }
 
-bool SoakWorld::excusedByCopy(const std::string &CallId, Time Since) const {
-  auto Daemon = SentTo_.find(CallId);
-  if (Daemon == SentTo_.end())
+bool SoakEnvironment::excusedByCopy(const std::string &CallId,
+                                    Time Since) const {
+  auto Daemon = DaemonByCall_.find(CallId);
+  if (Daemon == DaemonByCall_.end())
     return false;
   auto Started = StartedAt_.find(Daemon->second);
   return Started != StartedAt_.end() && Started->second > Since &&
          steady_clock::now() - CopyRestored_ <= SilentEntryTime + DrainBound;
 }
 
-void SoakWorld::loseWriteAnswers(int Count) {
+void SoakEnvironment::loseWriteAnswers(int Count) {
   run([&] { Store_.LoseWriteAnswers_ = Count; });
 }
 
-std::string SoakWorld::revokeKey() {
+std::string SoakEnvironment::revokeKey() {
   std::string Key;
   run([&] {
     // Some keys have to remain active, or nothing would be served at the end.
@@ -451,14 +455,14 @@
   return Key;
 }
 
-void SoakWorld::changeConfiguration() {
+void SoakEnvironment::changeConfiguration() {
   run([&] { writeConfiguration(); });
 }
 
-void SoakWorld::replaceEngine() {
+void SoakEnvironment::replaceEngine() {
   run([&] {
     auto Ready = std::ranges::find_if(Engines_, [](const auto &Known) {
-      return Known->Leaving_ == Time() && !Known->Gone_;
+      return Known->Leaving_ == Time() && !Known->Removed_;
     });
     Engine *LeavingEngine = Ready == Engines_.end() ? nullptr : Ready->get();
     addEngine();
@@ -469,7 +473,7 @@
     auto Leave = [this, LeavingEngine]() -> Awaitable<void> {
       constexpr milliseconds RemovalDelay{4000};
       co_await sleep(RemovalDelay);
-      LeavingEngine->Gone_ = true;
+      LeavingEngine->Removed_ = true;
       Store_.remove("servers/" + LeavingEngine->Id_);
       LeavingEngine->Server_->stopAccepting();
     };
@@ -477,7 +481,7 @@
   });
 }
 
-std::vector<std::string> SoakWorld::probeAll() {
+std::vector<std::string> SoakEnvironment::probeAll() {
   std::promise<std::vector<std::string>> Done;
   auto Probe = [&]() -> Awaitable<void> {
     std::vector<std::string> Failed;
@@ -503,10 +507,10 @@
   return Done.get_future().get();
 }
 
-void SoakWorld::check(const SoakCall &Call,
-                      std::vector<std::string> &Violations) const {
-  auto Known = RunsOf_.find(Call.Id_);
-  std::size_t Runs = Known == RunsOf_.end() ? 0 : Known->second;
+void SoakEnvironment::check(const SoakCall &Call,
+                            std::vector<std::string> &Violations) const {
+  auto Known = RunCounts_.find(Call.Id_);
+  std::size_t Runs = Known == RunCounts_.end() ? 0 : Known->second;
   bool Success = Call.Status_ == 200 && Call.Complete_;
   if (Success && Call.Body_ != completeBody(Call.Kind_, Call.Id_))
     Violations.push_back(Call.Id_ +
@@ -523,7 +527,7 @@
                          ": ran after the revocation bound of its key");
 }
 
-std::vector<std::string> SoakWorld::violations() {
+std::vector<std::string> SoakEnvironment::violations() {
   std::vector<std::string> Violations;
   run([&] {
     Violations = Violations_;
@@ -535,7 +539,7 @@
     for (const SoakRun &Run : Runs_) {
       auto Call = ById.find(Run.CallId_);
       bool Owner = Call == ById.end() ||
-                   OwnerOf_.at(Call->second->Key_) == Run.Customer_;
+                   CustomerByKey_.at(Call->second->Key_) == Run.Customer_;
       if (!Owner)
         Violations.push_back(Run.CallId_ +
                              ": ran under the name of another customer");
@@ -544,18 +548,18 @@
   return Violations;
 }
 
-std::vector<std::string> SoakWorld::cutCalls() {
+std::vector<std::string> SoakEnvironment::cutCalls() {
   std::vector<std::string> Cut;
   run([&] {
     for (const SoakCall &Call : Calls_)
-      if (RunsOf_.contains(Call.Id_) && !Call.Complete_)
+      if (RunCounts_.contains(Call.Id_) && !Call.Complete_)
         Cut.push_back(fmt::format("{} kind {} status {}", Call.Id_,
                                   static_cast<int>(Call.Kind_), Call.Status_));
   });
   return Cut;
 }
 
-int SoakWorld::statusWithKey(const std::string &Key) {
+int SoakEnvironment::statusWithKey(const std::string &Key) {
   std::promise<int> Done;
   auto SendRequest = [&]() -> Awaitable<void> {
     auto Daemon = std::ranges::find_if(
@@ -571,7 +575,7 @@
   return Done.get_future().get();
 }
 
-std::size_t SoakWorld::answered() {
+std::size_t SoakEnvironment::answered() {
   std::size_t Count = 0;
   run([&] {
     Count = static_cast<std::size_t>(
@@ -582,7 +586,7 @@
   return Count;
 }
 
-std::size_t SoakWorld::asked() {
+std::size_t SoakEnvironment::callCount() {
   std::size_t Count = 0;
   run([&] { Count = Calls_.size(); });
   return Count;
--- a/FailureTests/platform/SoakWorld.h
+++ b/FailureTests/platform/SoakEnvironment.h
@@ -42,10 +42,10 @@
 };
 
 /// All public functions are thread-safe.
-class SoakWorld {
+class SoakEnvironment {
 public:
-  explicit SoakWorld(std::uint64_t Seed);
-  ~SoakWorld();
+  explicit SoakEnvironment(std::uint64_t Seed);
+  ~SoakEnvironment();
 
   Endpoint storeAddress();
   /// Starts callers that send requests to the daemons until stopCallers().
@@ -54,8 +54,8 @@
   void setDaemon(std::size_t Index, std::optional<Endpoint> Callers);
 
   /// Records that a daemon is about to be paused, and about to resume.
-  void notePause(std::size_t Index);
-  void noteWake(std::size_t Index);
+  void recordPause(std::size_t Index);
+  void recordResume(std::size_t Index);
 
   // Fault injection; the functions do not wait for the fault to end.
   void failStore(int Status);
@@ -65,10 +65,10 @@
   /// Makes the store unavailable for \p Away and then restores it from the
   /// copy. Afterwards the operator and the engines write their entries again,
   /// one after the other.
-  void comeBackFromCopy(std::chrono::milliseconds Away);
+  void restoreFromCopy(std::chrono::milliseconds Away);
   void loseWriteAnswers(int Count);
-  void misbehave(bool Engines) {
-    run([=, this] { Misbehave_ = Engines; });
+  void setEngineFaults(bool Engines) {
+    run([=, this] { EngineFaults_ = Engines; });
   }
   /// Revokes a key of a customer. \returns the key; empty if too few are left.
   std::string revokeKey();
@@ -88,7 +88,7 @@
   /// Sends a request with \p Key to a running daemon. \returns its HTTP status.
   int statusWithKey(const std::string &Key);
   std::size_t answered();
-  std::size_t asked();
+  std::size_t callCount();
 
 private:
   struct Engine;
@@ -99,7 +99,7 @@
   void addEngine();
   void writeConfiguration();
   void publish(const Engine &Target);
-  Awaitable<void> restoreCopy(std::chrono::milliseconds Away);
+  Awaitable<void> restoreBackup(std::chrono::milliseconds Away);
   /// \returns whether an engine that began to leave at \p Since may still get
   /// the call: the daemon of the call started later and knows only the restored
   /// copy.
@@ -125,26 +125,27 @@
   std::vector<std::optional<Endpoint>> Daemons_;
   std::vector<SoakCall> Calls_;
   std::vector<SoakRun> Runs_;
-  std::map<std::string, std::size_t> RunsOf_;
-  std::map<std::string, std::string> OwnerOf_; ///< Customer names by key.
+  std::map<std::string, std::size_t> RunCounts_;
+  std::map<std::string, std::string> CustomerByKey_; ///< Customer names by key.
   std::set<std::string> ActiveKeys_;
   std::map<std::string, Time> Revoked_;
-  std::map<std::string, Endpoint> SentTo_; ///< Daemon addresses by call ID.
+  std::map<std::string, Endpoint>
+      DaemonByCall_; ///< Daemon addresses by call ID.
   struct Pause {
     Time Begin_;
     Time End_;
   };
   std::map<Endpoint, Pause> Pauses_; ///< The last pause of each daemon.
   std::vector<std::string> Violations_;
-  Time StoreTroubled_;
+  Time LastStoreFault_;
   std::string Configuration_; ///< The last version written.
   Time CopyRestored_;
   std::map<Endpoint, Time> StartedAt_; ///< Start times of daemons.
   std::uint64_t NextId_ = 1;
   std::uint64_t Version_ = 0;
-  bool CallersRun_ = false;
-  int CallersLeft_ = 0;
-  bool Misbehave_ = false;
+  bool CallersRunning_ = false;
+  int ActiveCallers_ = 0;
+  bool EngineFaults_ = false;
   std::thread Thread_;
 };
 
--- a/FailureTests/platform/SoakFleet.cpp
+++ b/FailureTests/platform/SoakFleet.cpp
@@ -12,10 +12,11 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-SoakFleet::SoakFleet(std::uint64_t Seed, SoakWorld &Environment,
+SoakFleet::SoakFleet(std::uint64_t Seed, SoakEnvironment &Environment,
                      bool RestoreCopies)
-    : Around_(Environment), Random_(Seed), CopyRandom_(Seed, 1),
-      Copies_(RestoreCopies), DaemonsPerReader_(Seed % 2 == 0 ? 2 : Daemons) {
+    : Environment_(Environment), Random_(Seed), RestoreRandom_(Seed, 1),
+      RestoreCopies_(RestoreCopies),
+      DaemonsPerReader_(Seed % 2 == 0 ? 2 : Daemons) {
   for (std::size_t Index = 0; Index < Daemons; ++Index)
     start(Index);
 }
@@ -29,7 +30,7 @@
       "--callers_address=127.0.0.1:0",
       "--peers_address=127.0.0.1:0",
       "--operators_address=127.0.0.1:0",
-      "--platform_address=" + formatEndpoint(Around_.storeAddress()),
+      "--platform_address=" + formatEndpoint(Environment_.storeAddress()),
       "--platform_timeout_ms=500",
       "--threads=" + std::to_string(Random_(2)),
       "--admission=objectives",
@@ -44,11 +45,11 @@
   Processes_[Index] = std::make_unique<ChildProcess>(Command, Log);
   auto Addresses = Processes_[Index]->readLine();
   auto Callers = parseEndpoint(Addresses["callers"].get<std::string>());
-  Around_.setDaemon(Index, *Callers);
+  Environment_.setDaemon(Index, *Callers);
 }
 
 void SoakFleet::kill(std::size_t Index) {
-  Around_.setDaemon(Index, std::nullopt);
+  Environment_.setDaemon(Index, std::nullopt);
   Processes_[Index]->kill();
 }
 
@@ -56,7 +57,7 @@
   // Callers still connect for a while, as a load balancer keeps sending them.
   Processes_[Index]->signal(SIGTERM);
   std::this_thread::sleep_for(milliseconds(200));
-  Around_.setDaemon(Index, std::nullopt);
+  Environment_.setDaemon(Index, std::nullopt);
   int Status = Processes_[Index]->wait();
   start(Index);
   return Status;
@@ -69,41 +70,42 @@
 }
 
 void SoakFleet::pause(std::size_t Index) {
-  Around_.notePause(Index);
+  Environment_.recordPause(Index);
   Processes_[Index]->freeze();
   std::this_thread::sleep_for(milliseconds(100 + Random_(1500)));
-  Around_.noteWake(Index);
-  Processes_[Index]->wake();
+  Environment_.recordResume(Index);
+  Processes_[Index]->resume();
 }
 
-void SoakFleet::storeTrouble() {
+void SoakFleet::disruptStore() {
   bool Silent = Random_(2) == 0;
   if (Silent)
-    Around_.silenceStore(true);
+    Environment_.silenceStore(true);
   else
-    Around_.failStore(Random_(2) == 0 ? 503 : 429);
+    Environment_.failStore(Random_(2) == 0 ? 503 : 429);
   std::this_thread::sleep_for(milliseconds(200 + Random_(2500)));
-  Around_.silenceStore(false);
-  Around_.failStore(0);
+  Environment_.silenceStore(false);
+  Environment_.failStore(0);
 }
 
 /// Taking and restoring the copy are independent draws, so that the copy is
 /// several faults old when the store is restored from it.
-void SoakFleet::storeCopy() {
-  if (!Copies_)
+void SoakFleet::copyOrRestoreStore() {
+  if (!RestoreCopies_)
     return;
-  switch (CopyRandom_(8)) {
+  switch (RestoreRandom_(8)) {
   case 0:
-    return Around_.takeStoreCopy();
+    return Environment_.takeStoreCopy();
   case 1:
-    return Around_.comeBackFromCopy(milliseconds(50 + CopyRandom_(1200)));
+    return Environment_.restoreFromCopy(
+        milliseconds(50 + RestoreRandom_(1200)));
   default:
     return;
   }
 }
 
-void SoakFleet::strike() {
-  storeCopy();
+void SoakFleet::injectFault() {
+  copyOrRestoreStore();
   std::size_t Index = Random_(Daemons);
   switch (Random_(11)) {
   case 0:
@@ -116,33 +118,33 @@
   case 3:
     return Processes_[Index]->signal(SIGHUP);
   case 4:
-    return storeTrouble();
+    return disruptStore();
   case 5:
-    return Around_.dropHistory();
+    return Environment_.dropHistory();
   case 6:
-    return Around_.replaceEngine();
+    return Environment_.replaceEngine();
   case 7:
-    Around_.revokeKey();
+    Environment_.revokeKey();
     return;
   case 8:
-    return Around_.changeConfiguration();
+    return Environment_.changeConfiguration();
   case 9:
-    return Around_.loseWriteAnswers(1);
+    return Environment_.loseWriteAnswers(1);
   default:
-    Misbehaving_ = !Misbehaving_;
-    return Around_.misbehave(Misbehaving_);
+    EngineFaultsActive_ = !EngineFaultsActive_;
+    return Environment_.setEngineFaults(EngineFaultsActive_);
   }
 }
 
-void SoakFleet::heal() {
-  Around_.failStore(0);
-  Around_.silenceStore(false);
-  Around_.misbehave(false);
+void SoakFleet::clearFaults() {
+  Environment_.failStore(0);
+  Environment_.silenceStore(false);
+  Environment_.setEngineFaults(false);
   for (auto &Process : Processes_)
-    Process->wake();
+    Process->resume();
 }
 
-std::vector<std::string> probeUntilWell(SoakWorld &Environment) {
+std::vector<std::string> probeUntilHealthy(SoakEnvironment &Environment) {
   constexpr std::chrono::seconds Limit{10};
   auto End = steady_clock::now() + Limit;
   auto Failed = Environment.probeAll();
--- a/FailureTests/platform/SoakFleet.h
+++ b/FailureTests/platform/SoakFleet.h
@@ -5,7 +5,7 @@
 
 #include "FailureTests/ChildProcess.h"
 #include "FailureTests/TestFolder.h"
-#include "FailureTests/platform/SoakWorld.h"
+#include "FailureTests/platform/SoakEnvironment.h"
 
 #include <pcg_random.hpp>
 
@@ -23,7 +23,7 @@
 
   /// If \p RestoreCopies is set, the store is sometimes restored from an older
   /// copy.
-  SoakFleet(std::uint64_t Seed, SoakWorld &Environment,
+  SoakFleet(std::uint64_t Seed, SoakEnvironment &Environment,
             bool RestoreCopies = false);
 
   void start(std::size_t Index);
@@ -33,30 +33,30 @@
   [[nodiscard]] int stopAndStart(std::size_t Index);
   /// Injects one random fault, derived from the seed. Some faults also end in
   /// this call; others may outlast it.
-  void strike();
+  void injectFault();
   /// Clears all faults.
-  void heal();
+  void clearFaults();
 
 private:
   void checkStop(std::size_t Index);
   void pause(std::size_t Index);
-  void storeTrouble();
-  void storeCopy();
+  void disruptStore();
+  void copyOrRestoreStore();
 
-  SoakWorld &Around_;
+  SoakEnvironment &Environment_;
   pcg32 Random_;
   /// A separate generator, so that \p RestoreCopies does not change the other
   /// faults of a seed.
-  pcg32 CopyRandom_;
-  bool Copies_;
+  pcg32 RestoreRandom_;
+  bool RestoreCopies_;
   std::size_t DaemonsPerReader_;
   TestFolder Folder_; ///< The daemons' logs.
   std::array<std::unique_ptr<ChildProcess>, Daemons> Processes_;
-  bool Misbehaving_ = false;
+  bool EngineFaultsActive_ = false;
 };
 
 /// Waits up to 10 s until every daemon serves every kind of request.
 /// \returns the probes that still fail.
-std::vector<std::string> probeUntilWell(SoakWorld &Environment);
+std::vector<std::string> probeUntilHealthy(SoakEnvironment &Environment);
 
 } // namespace samphireshunt::tests
--- a/FailureTests/platform/SoakTest.cpp
+++ b/FailureTests/platform/SoakTest.cpp
@@ -4,8 +4,8 @@
 /// outside. SOAK_SEEDS="1 2 3" selects seeds and SOAK_SECONDS=20 the runTime of
 /// each run; by default a few fixed seeds run for a short time.
 
+#include "FailureTests/platform/SoakEnvironment.h"
 #include "FailureTests/platform/SoakFleet.h"
-#include "FailureTests/platform/SoakWorld.h"
 
 #include <doctest/doctest.h>
 
@@ -55,28 +55,28 @@
 
 void soak(const std::vector<std::uint64_t> &Seeds, bool RestoreCopies) {
   for (std::uint64_t Seed : Seeds) {
-    SoakWorld Environment(Seed);
+    SoakEnvironment Environment(Seed);
     Environment.takeStoreCopy();
     SoakFleet Fleet(Seed, Environment, RestoreCopies);
-    auto Before = probeUntilWell(Environment);
+    auto Before = probeUntilHealthy(Environment);
     REQUIRE_MESSAGE(Before.empty(), "seed " << Seed << ": " << Before.front());
     Environment.startCallers(Callers);
     auto End = steady_clock::now() + runTime();
     while (steady_clock::now() < End) {
-      Fleet.strike();
+      Fleet.injectFault();
       std::this_thread::sleep_for(milliseconds(150));
     }
-    Fleet.heal();
+    Fleet.clearFaults();
     Environment.stopCallers();
-    auto After = probeUntilWell(Environment);
+    auto After = probeUntilHealthy(Environment);
     CHECK_MESSAGE(After.empty(), "seed " << Seed << ": " << After.front());
     auto Violations = Environment.violations();
     CHECK_MESSAGE(Violations.empty(), "seed " << Seed << ": "
                                               << Violations.size() << ", first "
                                               << Violations.front());
-    CHECK_MESSAGE(Environment.answered() * 4 > Environment.asked(),
+    CHECK_MESSAGE(Environment.answered() * 4 > Environment.callCount(),
                   "seed " << Seed << ": " << Environment.answered() << " of "
-                          << Environment.asked() << " answered");
+                          << Environment.callCount() << " answered");
   }
 }
 
--- a/FailureTests/platform/StopTest.cpp
+++ b/FailureTests/platform/StopTest.cpp
@@ -2,8 +2,8 @@
 /// Planned stops and the loss of all daemons on the platform's protocol, with
 /// real processes, checked from the perspective of callers and engines.
 
+#include "FailureTests/platform/SoakEnvironment.h"
 #include "FailureTests/platform/SoakFleet.h"
-#include "FailureTests/platform/SoakWorld.h"
 
 #include <doctest/doctest.h>
 
@@ -30,15 +30,15 @@
   // stopping daemon must finish the requests that it accepted and accept those
   // that still arrive. Otherwise streams would break off, or requests that an
   // engine ran would end without an answer, whenever daemons are replaced.
-  SoakWorld Environment(Seed);
+  SoakEnvironment Environment(Seed);
   SoakFleet Fleet(Seed, Environment);
-  REQUIRE(probeUntilWell(Environment).empty());
+  REQUIRE(probeUntilHealthy(Environment).empty());
   Environment.startCallers(Callers);
   for (std::size_t Index = 0; Index < SoakFleet::Daemons; ++Index) {
     auto Begin = steady_clock::now();
     CHECK(Fleet.stopAndStart(Index) == 0);
     CHECK(steady_clock::now() - Begin < StopBound);
-    CHECK(probeUntilWell(Environment).empty());
+    CHECK(probeUntilHealthy(Environment).empty());
   }
   Environment.stopCallers();
   auto Cut = Environment.cutCalls();
@@ -53,16 +53,16 @@
   // daemons are killed and restarted, as in a power failure. A daemon keeps no
   // state across its process, so its initial state must come from the store.
   // Otherwise the revoked key would work again, or nothing would be served.
-  SoakWorld Environment(Seed);
+  SoakEnvironment Environment(Seed);
   SoakFleet Fleet(Seed, Environment);
-  REQUIRE(probeUntilWell(Environment).empty());
+  REQUIRE(probeUntilHealthy(Environment).empty());
   Environment.startCallers(Callers);
   std::string RevokedKey = Environment.revokeKey();
   for (std::size_t Index = 0; Index < SoakFleet::Daemons; ++Index)
     Fleet.kill(Index);
   for (std::size_t Index = 0; Index < SoakFleet::Daemons; ++Index)
     Fleet.start(Index);
-  CHECK(probeUntilWell(Environment).empty());
+  CHECK(probeUntilHealthy(Environment).empty());
   Environment.stopCallers();
   CHECK(Environment.violations().empty());
   CHECK(Environment.statusWithKey(RevokedKey) == 401);
--- a/Source/Connection/BackendConnections.cpp
+++ b/Source/Connection/BackendConnections.cpp
@@ -20,8 +20,8 @@
 bool usable(HttpConnection &Connection, milliseconds MaxIdle) {
   if (auto Limit = Connection.idleLimit())
     MaxIdle = std::min(MaxIdle, milliseconds(*Limit) - CloseMargin);
-  auto Idle = steady_clock::now() - Connection.lastHeard();
-  return Idle <= MaxIdle && Connection.quiet();
+  auto Idle = steady_clock::now() - Connection.lastReceived();
+  return Idle <= MaxIdle && Connection.hasNoUnexpectedInput();
 }
 
 } // namespace
@@ -46,12 +46,12 @@
   co_return co_await HttpConnection::connect(Address, Options_.ConnectTimeout_);
 }
 
-void BackendConnections::giveBack(const Endpoint &Address,
-                                  std::unique_ptr<HttpConnection> Connection) {
+void BackendConnections::returnConnection(
+    const Endpoint &Address, std::unique_ptr<HttpConnection> Connection) {
   auto &Idle = Idle_[Address];
   auto Oldest = steady_clock::now() - MaxPooledIdle;
   std::erase_if(Idle, [Oldest](const auto &Pooled) {
-    return Pooled->lastHeard() < Oldest;
+    return Pooled->lastReceived() < Oldest;
   });
   if (!Connection->reusable() || Idle.size() >= Options_.MaxIdlePerServer_)
     return Connection->close();
--- a/Source/Connection/BackendConnections.h
+++ b/Source/Connection/BackendConnections.h
@@ -15,7 +15,7 @@
 /// element between the two ends may have lost the state of an idle connection;
 /// a request written to it then vanishes without an error. Requests that are
 /// safe to retry may use connections that have been idle for longer.
-inline constexpr std::chrono::milliseconds ProvedMaxIdle{1000};
+inline constexpr std::chrono::milliseconds TrustedMaxIdle{1000};
 
 class BackendConnections {
 public:
@@ -33,8 +33,8 @@
   /// Returns \p Connection to the pool if its last response was read
   /// completely. Otherwise closes it, so that the rest of that response can
   /// never be taken for the response to another request.
-  void giveBack(const Endpoint &Address,
-                std::unique_ptr<HttpConnection> Connection);
+  void returnConnection(const Endpoint &Address,
+                        std::unique_ptr<HttpConnection> Connection);
 
 private:
   using Connections = std::vector<std::unique_ptr<HttpConnection>>;
--- a/Source/Connection/EventSplitter.cpp
+++ b/Source/Connection/EventSplitter.cpp
@@ -31,8 +31,8 @@
 } // namespace
 
 std::string EventSplitter::feed(std::string_view Bytes) {
-  Rest_ += Bytes;
-  std::string_view Remaining = Rest_;
+  Partial_ += Bytes;
+  std::string_view Remaining = Partial_;
   std::size_t CompleteBytes = 0;
   for (std::size_t End = eventEnd(Remaining); End != std::string_view::npos;
        End = eventEnd(Remaining)) {
@@ -40,8 +40,8 @@
     Remaining.remove_prefix(End);
     CompleteBytes += End;
   }
-  std::string Events = Rest_.substr(0, CompleteBytes);
-  Rest_.erase(0, CompleteBytes);
+  std::string Events = Partial_.substr(0, CompleteBytes);
+  Partial_.erase(0, CompleteBytes);
   return Events;
 }
 
--- a/Source/Connection/EventSplitter.h
+++ b/Source/Connection/EventSplitter.h
@@ -16,8 +16,8 @@
   /// of the last complete event; they are removed from the buffer.
   std::string feed(std::string_view Bytes);
   /// The buffered bytes: the beginning of an incomplete event.
-  const std::string &rest() const { return Rest_; }
-  void dropRest() { Rest_.clear(); }
+  const std::string &partialEvent() const { return Partial_; }
+  void dropPartialEvent() { Partial_.clear(); }
   /// The id of the last complete event that had one.
   const std::optional<std::string> &lastId() const { return LastId_; }
   /// The number of complete events so far.
@@ -26,7 +26,7 @@
 private:
   void noteEvent(std::string_view Event);
 
-  std::string Rest_;
+  std::string Partial_;
   std::optional<std::string> LastId_;
   std::size_t Count_ = 0;
 };
--- a/Source/Connection/EventStream.cpp
+++ b/Source/Connection/EventStream.cpp
@@ -33,17 +33,18 @@
 std::vector<ServerSentEvent> EventStream::feed(std::string_view Bytes) {
   for (char Byte : Bytes)
     if (Byte != '\r')
-      Rest_.push_back(Byte);
+      Partial_.push_back(Byte);
   std::vector<ServerSentEvent> Events;
   std::size_t Start = 0;
   std::size_t End = 0;
-  while ((End = Rest_.find("\n\n", Start)) != std::string::npos) {
-    auto Event = parseEvent(std::string_view(Rest_).substr(Start, End - Start));
+  while ((End = Partial_.find("\n\n", Start)) != std::string::npos) {
+    auto Event =
+        parseEvent(std::string_view(Partial_).substr(Start, End - Start));
     if (!Event.Data_.empty())
       Events.push_back(std::move(Event));
     Start = End + 2;
   }
-  Rest_.erase(0, Start);
+  Partial_.erase(0, Start);
   return Events;
 }
 
--- a/Source/Connection/EventStream.h
+++ b/Source/Connection/EventStream.h
@@ -19,10 +19,10 @@
   /// Appends \p Bytes to the stream. \returns the events that are now complete.
   std::vector<ServerSentEvent> feed(std::string_view Bytes);
   /// True when the buffer contains no incomplete event.
-  bool atBoundary() const { return Rest_.empty(); }
+  bool atBoundary() const { return Partial_.empty(); }
 
 private:
-  std::string Rest_;
+  std::string Partial_;
 };
 
 /// Formats one event; an empty id or name is omitted.
--- a/Source/Connection/FrameChannel.cpp
+++ b/Source/Connection/FrameChannel.cpp
@@ -44,7 +44,7 @@
                            Timing Periods)
     : Socket_(std::move(Socket)), Hooks_(std::move(Callbacks)),
       Timing_(Periods), SilenceTimer_(Socket_.get_executor()),
-      LastHeard_(steady_clock::now()) {
+      LastReceived_(steady_clock::now()) {
   error_code Ignored;
   Socket_.set_option(asio::ip::tcp::no_delay(true), Ignored);
 }
@@ -57,7 +57,7 @@
   std::string Frame(reinterpret_cast<const char *>(&Size), sizeof(Size));
   Frame += Message;
   if (QueuedBytes_ + Frame.size() > MaxQueuedBytes)
-    return closeOverfull();
+    return closeOnFullQueue();
   QueuedBytes_ += Frame.size();
   BytesSent_ += Frame.size();
   Outgoing_.push_back(std::move(Frame));
@@ -84,7 +84,7 @@
 
 /// Closes the socket only: readFrames() then ends with an error and calls
 /// Closed_.
-void FrameChannel::closeOverfull() {
+void FrameChannel::closeOnFullQueue() {
   error_code Ignored;
   auto Other = Socket_.remote_endpoint(Ignored);
   logEvent(LogCategory::Process, spdlog::level::warn, "link-overfull",
@@ -119,10 +119,10 @@
   while (Target.size() > 0 && !Error) {
     Target += co_await Socket_.async_read_some(
         Target, asio::redirect_error(asio::use_awaitable, Error));
-    LastHeard_ = Error ? LastHeard_ : steady_clock::now();
-    Begun = Begun.value_or(LastHeard_);
+    LastReceived_ = Error ? LastReceived_ : steady_clock::now();
+    Begun = Begun.value_or(LastReceived_);
     if (!Error && Target.size() > 0)
-      tellProgress(*Begun);
+      reportProgress(*Begun);
   }
   co_return Error;
 }
@@ -133,10 +133,10 @@
 /// receive nothing either, because its heartbeat request is queued behind the
 /// frame. So each chunk counts as a sign of life and is answered by a
 /// heartbeat.
-void FrameChannel::tellProgress(TimePoint Begun) {
-  if (LastHeard_ - std::max(Begun, LastTold_) < Timing_.Heartbeat_)
+void FrameChannel::reportProgress(TimePoint Begun) {
+  if (LastReceived_ - std::max(Begun, LastProgressSent_) < Timing_.Heartbeat_)
     return;
-  LastTold_ = LastHeard_;
+  LastProgressSent_ = LastReceived_;
   send(encodeMessage(heartbeatReply()));
 }
 
@@ -188,19 +188,19 @@
     // pause counted as silence of the peer, it would close links to working
     // daemons and lose everything awaited from them.
     if (Now - SilenceTimer_.expiry() > Timing_.Heartbeat_)
-      LastHeard_ = Now;
+      LastReceived_ = Now;
     if (Awaiting && !WasAwaiting)
-      LastHeard_ = Now;
+      LastReceived_ = Now;
     WasAwaiting = Awaiting;
     if (!Awaiting)
       continue;
-    if (Now - LastHeard_ > Timing_.Silence_) {
+    if (Now - LastReceived_ > Timing_.Silence_) {
       fail();
       break;
     }
     // Any received message shows that the link works, so no heartbeat is
     // needed.
-    if (Now - LastHeard_ >= Timing_.Heartbeat_)
+    if (Now - LastReceived_ >= Timing_.Heartbeat_)
       send(encodeMessage(wire::HeartbeatT()));
   }
 }
--- a/Source/Connection/FrameChannel.h
+++ b/Source/Connection/FrameChannel.h
@@ -65,11 +65,11 @@
   readAll(boost::asio::mutable_buffer Target);
   /// Reports to the peer that a long frame is still arriving. \p Begun is the
   /// time at which the first bytes of the current read arrived.
-  void tellProgress(TimePoint Begun);
+  void reportProgress(TimePoint Begun);
   Awaitable<void> writeFrames();
   Awaitable<void> watchSilence();
   void fail();
-  void closeOverfull();
+  void closeOnFullQueue();
   void receive(std::string_view Bytes);
 
   boost::asio::ip::tcp::socket Socket_;
@@ -77,9 +77,9 @@
   Timing Timing_;
   std::deque<std::string> Outgoing_;
   boost::asio::steady_timer SilenceTimer_;
-  TimePoint LastHeard_;
+  TimePoint LastReceived_;
   /// When the peer was last notified that a frame from it is arriving.
-  TimePoint LastTold_;
+  TimePoint LastProgressSent_;
   std::size_t QueuedBytes_ = 0;
   std::uint64_t BytesSent_ = 0;
   bool Writing_ = false;
--- a/Source/Connection/Http.h
+++ b/Source/Connection/Http.h
@@ -170,9 +170,9 @@
   virtual bool reusable() const = 0;
   /// True while the server has neither closed the connection nor sent
   /// unexpected bytes.
-  virtual bool quiet() = 0;
+  virtual bool hasNoUnexpectedInput() = 0;
   /// When the last byte was received.
-  virtual std::chrono::steady_clock::time_point lastHeard() const = 0;
+  virtual std::chrono::steady_clock::time_point lastReceived() const = 0;
   /// Closes the connection. A pending read returns ConnectionLost.
   virtual void close() = 0;
 };
@@ -191,7 +191,7 @@
 /// when the head of the response has been read.
 Awaitable<Result<HttpResponse>> httpCall(Endpoint Address, HttpRequest Request,
                                          HttpCallLimits Limits,
-                                         std::function<void()> Coming);
+                                         std::function<void()> OnHead);
 
 /// Sends one request over a connection of its own, with \p Timeout for the
 /// whole call.
--- a/Source/Connection/HttpConnection.cpp
+++ b/Source/Connection/HttpConnection.cpp
@@ -66,7 +66,7 @@
 
   Awaitable<Result<void>> send(const HttpRequest &Request,
                                std::chrono::milliseconds Timeout) override {
-    Whole_ = false;
+    Complete_ = false;
     auto Message = std::make_shared<http::request<http::string_body>>();
     Message->version(11);
     Message->method_string(Request.Method_);
@@ -103,7 +103,7 @@
         asio::redirect_error(asio::use_awaitable, Error));
     if (Error)
       co_return connectionFailure(Error);
-    LastHeard_ = std::chrono::steady_clock::now();
+    LastReceived_ = std::chrono::steady_clock::now();
     HttpResponse Head;
     Head.Status_ = static_cast<int>(Parser_->get().result_int());
     for (const auto &Field : Parser_->get())
@@ -126,7 +126,7 @@
       bool BufferFull = Error == http::error::need_buffer;
       if (Error && !BufferFull)
         co_return connectionFailure(Error);
-      LastHeard_ = std::chrono::steady_clock::now();
+      LastReceived_ = std::chrono::steady_clock::now();
       std::size_t Count = Space.size() - Parser_->get().body().size;
       if (Count > 0)
         co_return std::string(Space.data(), Count);
@@ -138,9 +138,8 @@
     bool Counted = Parser_->chunked() || Parser_->content_length() ||
                    Status == 204 || Status == 304;
     if (!Counted && !AcceptUnframed_)
-      co_return Failure{ResultCode::ConnectionLost,
-                        "response body has no length"};
-    Whole_ = Counted && Parser_->keep_alive();
+      co_return Failure{ResultCode::ConnectionLost, "body without length"};
+    Complete_ = Counted && Parser_->keep_alive();
     co_return std::string();
   }
 
@@ -153,9 +152,10 @@
     // If the request body was not sent completely, the server would read the
     // next request as a part of it.
     bool Sent = Sent_ && Sent_->Done_ && !Sent_->Error_;
-    return Whole_ && Sent && Buffer_.size() == 0 && Stream_->socket().is_open();
+    return Complete_ && Sent && Buffer_.size() == 0 &&
+           Stream_->socket().is_open();
   }
-  bool quiet() override {
+  bool hasNoUnexpectedInput() override {
     char Byte = 0;
     beast::error_code Error;
     Stream_->socket().non_blocking(true, Error);
@@ -163,11 +163,11 @@
                               asio::ip::tcp::socket::message_peek, Error);
     return Error == asio::error::would_block;
   }
-  std::chrono::steady_clock::time_point lastHeard() const override {
-    return LastHeard_;
+  std::chrono::steady_clock::time_point lastReceived() const override {
+    return LastReceived_;
   }
   void close() override {
-    Whole_ = false;
+    Complete_ = false;
     Stream_->close();
   }
 
@@ -194,8 +194,8 @@
   bool AcceptUnframed_ = false;
   beast::flat_buffer Buffer_;
   std::optional<http::response_parser<http::buffer_body>> Parser_;
-  std::chrono::steady_clock::time_point LastHeard_;
-  bool Whole_ = false;
+  std::chrono::steady_clock::time_point LastReceived_;
+  bool Complete_ = false;
 };
 
 } // namespace
@@ -278,14 +278,14 @@
 
 Awaitable<Result<HttpResponse>> httpCall(Endpoint Address, HttpRequest Request,
                                          HttpCallLimits Limits,
-                                         std::function<void()> Coming) {
+                                         std::function<void()> OnHead) {
   RemainingTime ToHead(Limits.Head_);
   auto Begun =
       co_await beginCall(std::move(Address), std::move(Request), ToHead);
   if (!Begun)
     co_return Begun.error();
-  if (Coming)
-    Coming();
+  if (OnHead)
+    OnHead();
   RemainingTime ToEnd(Limits.Body_);
   co_return co_await endCall(std::move(*Begun), Limits.Silence_, ToEnd);
 }
--- /dev/null
+++ b/Source/Process/Configuration/AnnouncedVersions.cpp
@@ -0,0 +1,37 @@
+#include "Process/Configuration/AnnouncedVersions.h"
+
+namespace samphireshunt {
+
+void AnnouncedVersions::noteAnnounced(const VmId &Peer, DocumentVersion Version,
+                                      DocumentVersion Active, TimePoint Now) {
+  if (Version <= Active || (Newest_ && Version <= Newest_->Version_))
+    return;
+  std::erase_if(IgnoredUntil_,
+                [Now](const auto &Item) { return Item.second <= Now; });
+  if (!IgnoredUntil_.contains(Peer))
+    Newest_ = Announcement{Peer, Version, Now};
+}
+
+void AnnouncedVersions::notDelivered(const VmId &Peer, TimePoint Now) {
+  IgnoredUntil_[Peer] = Now + Options_.IgnoreTime_;
+  if (Newest_ && Newest_->Announcer_ == Peer)
+    Newest_.reset();
+}
+
+std::optional<AnnouncedVersions::Announcement>
+AnnouncedVersions::missing(DocumentVersion Active, TimePoint Now) {
+  if (Newest_ && Newest_->Version_ <= Active)
+    Newest_.reset();
+  if (Newest_ && Now - Newest_->Since_ >= Options_.DeliveryTimeout_)
+    notDelivered(VmId(Newest_->Announcer_), Now);
+  return Newest_;
+}
+
+std::optional<AnnouncedVersions::Announcement>
+AnnouncedVersions::due(DocumentVersion Active, TimePoint Now) {
+  auto Wanted = missing(Active, Now);
+  bool Due = Wanted && Now - Wanted->Since_ >= Options_.RequestDelay_;
+  return Due ? Wanted : std::nullopt;
+}
+
+} // namespace samphireshunt
--- a/Source/Process/Configuration/HeardVersions.h
+++ b/Source/Process/Configuration/AnnouncedVersions.h
@@ -14,42 +14,42 @@
 
 namespace samphireshunt {
 
-class HeardVersions {
+class AnnouncedVersions {
 public:
   struct Options {
     /// How long to wait for the version to arrive from the reader or the
     /// service.
-    std::chrono::milliseconds Patience_{400};
+    std::chrono::milliseconds RequestDelay_{400};
     /// A version that its announcer does not deliver within this time is
     /// ignored.
-    std::chrono::milliseconds GiveUp_{3000};
+    std::chrono::milliseconds DeliveryTimeout_{3000};
     /// How long announcements of a daemon are ignored after it failed to
     /// deliver a version that it had announced.
-    std::chrono::milliseconds Distrust_{10000};
+    std::chrono::milliseconds IgnoreTime_{10000};
   };
   /// A version, and the daemon that announced it.
-  struct Named {
-    VmId By_;
+  struct Announcement {
+    VmId Announcer_;
     DocumentVersion Version_;
     TimePoint Since_;
   };
 
-  explicit HeardVersions(Options Settings) : Options_(Settings) {}
+  explicit AnnouncedVersions(Options Settings) : Options_(Settings) {}
 
-  void heard(const VmId &Peer, DocumentVersion Version, DocumentVersion Active,
-             TimePoint Now);
+  void noteAnnounced(const VmId &Peer, DocumentVersion Version,
+                     DocumentVersion Active, TimePoint Now);
   /// Called when \p Peer does not have the announced version, or did not
   /// deliver it.
-  void notHandedOver(const VmId &Peer, TimePoint Now);
+  void notDelivered(const VmId &Peer, TimePoint Now);
   /// The newest announced version that is not active, until it is given up.
-  std::optional<Named> missing(DocumentVersion Active, TimePoint Now);
+  std::optional<Announcement> missing(DocumentVersion Active, TimePoint Now);
   /// The same, but only once it is time to ask for it.
-  std::optional<Named> due(DocumentVersion Active, TimePoint Now);
+  std::optional<Announcement> due(DocumentVersion Active, TimePoint Now);
 
 private:
   Options Options_;
-  std::optional<Named> Newest_;
-  std::map<VmId, TimePoint> DistrustedUntil_;
+  std::optional<Announcement> Newest_;
+  std::map<VmId, TimePoint> IgnoredUntil_;
 };
 
 } // namespace samphireshunt
--- a/Source/Process/Configuration/ChangeLog.cpp
+++ b/Source/Process/Configuration/ChangeLog.cpp
@@ -5,7 +5,7 @@
 namespace samphireshunt {
 
 void ChangeLog::set(const KeyValue &Entry) {
-  Noted &Target = Entries_[Entry.Key_];
+  LoggedEntry &Target = Entries_[Entry.Key_];
   bool Known = Target.Number_ > 0;
   // A key that was removed and written again may have the same value as before.
   // Its newer position must still count as a change, for followers that know of
@@ -45,7 +45,7 @@
 }
 
 void ChangeLog::forgetOldRemovals() {
-  while (Removals_ > MostRemovals) {
+  while (Removals_ > MaxRemovals) {
     auto Oldest = Entries_.end();
     for (auto Item = Entries_.begin(); Item != Entries_.end(); ++Item)
       if (Item->second.Entry_.Deleted_ &&
--- a/Source/Process/Configuration/ChangeLog.h
+++ b/Source/Process/Configuration/ChangeLog.h
@@ -20,7 +20,7 @@
     bool Complete_ = false;
     std::vector<KeyValue> Entries_;
     /// Set only if complete: keys that may no longer be valid.
-    std::vector<std::string> Unsure_;
+    std::vector<std::string> Unverified_;
   };
 
   /// Records an entry as it was read. Does nothing if the entry is already
@@ -42,15 +42,15 @@
 private:
   /// Limits how many removals are remembered, since servers come and go
   /// indefinitely.
-  static constexpr std::size_t MostRemovals = 1000;
+  static constexpr std::size_t MaxRemovals = 1000;
 
-  struct Noted {
+  struct LoggedEntry {
     KeyValue Entry_;
     std::uint64_t Number_ = 0;
   };
   void forgetOldRemovals();
 
-  std::map<std::string, Noted> Entries_;
+  std::map<std::string, LoggedEntry> Entries_;
   std::size_t Removals_ = 0;
   std::uint64_t Last_ = 0;
   /// Changes up to this number may be missing.
--- a/Source/Process/Configuration/ConfigurationSync.cpp
+++ b/Source/Process/Configuration/ConfigurationSync.cpp
@@ -75,39 +75,39 @@
              {{"service", Service.str()}, {"detail", Decoded.error().Detail_}});
     return;
   }
-  auto &Newest = NewestHeard_[Service];
+  auto &Newest = NewestAnnounced_[Service];
   Newest = std::max(Newest, Decoded->Version_);
   Documents_.adopt(Service, *Decoded);
   noteLag();
 }
 
-void ConfigurationSync::versionSeen(const VmId &From,
-                                    const ServiceName &Service,
-                                    DocumentVersion Version) {
-  auto &Newest = NewestHeard_[Service];
+void ConfigurationSync::versionAnnounced(const VmId &From,
+                                         const ServiceName &Service,
+                                         DocumentVersion Version) {
+  auto &Newest = NewestAnnounced_[Service];
   Newest = std::max(Newest, Version);
   auto Snapshot = Documents_.snapshot();
   const ServiceConfiguration *Active = Snapshot->service(Service);
   DocumentVersion Known =
-      Active ? std::max(Active->Version_, Active->NotUnderstood_)
+      Active ? std::max(Active->Version_, Active->UnsupportedVersion_)
              : DocumentVersion(0);
   if (Version > Known)
-    Hooks_.AskPeer_(From, Service);
+    Hooks_.RequestDocument_(From, Service);
   noteLag();
 }
 
 bool ConfigurationSync::upToDate() const {
   auto Snapshot = Documents_.snapshot();
-  return std::ranges::all_of(NewestHeard_, [&](const auto &Item) {
+  return std::ranges::all_of(NewestAnnounced_, [&](const auto &Item) {
     const ServiceConfiguration *Active = Snapshot->service(Item.first);
-    return Active &&
-           std::max(Active->Version_, Active->NotUnderstood_) >= Item.second;
+    return Active && std::max(Active->Version_, Active->UnsupportedVersion_) >=
+                         Item.second;
   });
 }
 
 void ConfigurationSync::noteLag() {
   if (upToDate())
-    Freshness_.newestInForce();
+    Freshness_.newestActive();
   else
     Freshness_.newerKnown(BootClock::now());
 }
--- a/Source/Process/Configuration/ConfigurationSync.h
+++ b/Source/Process/Configuration/ConfigurationSync.h
@@ -28,7 +28,7 @@
     std::chrono::milliseconds JoinTime_{1500};
   };
   struct Hooks {
-    std::function<void(const VmId &From, const ServiceName &)> AskPeer_;
+    std::function<void(const VmId &From, const ServiceName &)> RequestDocument_;
     std::function<void(const std::vector<ListedVm> &)> VmsListed_;
     std::function<bool()> HeardFromPeer_;
   };
@@ -40,8 +40,8 @@
   void start();
   void stop() { Stopped_ = true; }
   /// Called when gossip reports that \p From has this version.
-  void versionSeen(const VmId &From, const ServiceName &Service,
-                   DocumentVersion Version);
+  void versionAnnounced(const VmId &From, const ServiceName &Service,
+                        DocumentVersion Version);
   /// Called when a peer has sent a document.
   void documentReceived(const ServiceName &Service, const std::string &Encoded);
   /// True once this daemon may serve: its configuration is as new as every
@@ -65,7 +65,7 @@
   FreshnessLease &Freshness_;
   Options Options_;
   Hooks Hooks_;
-  std::map<ServiceName, DocumentVersion> NewestHeard_;
+  std::map<ServiceName, DocumentVersion> NewestAnnounced_;
   std::chrono::steady_clock::time_point Started_;
   bool PlatformRead_ = false;
   bool PlatformReachable_ = false;
--- a/Source/Process/Configuration/DepartedServers.cpp
+++ b/Source/Process/Configuration/DepartedServers.cpp
@@ -2,8 +2,8 @@
 
 namespace samphireshunt {
 
-void DepartedServers::left(const std::string &Name, Departure Known) {
-  if (Departures_.size() >= MostDepartures)
+void DepartedServers::markDeparted(const std::string &Name, Departure Known) {
+  if (Departures_.size() >= MaxDepartures)
     Departures_.clear();
   Departures_[Name] = Known;
 }
@@ -24,11 +24,11 @@
   // compared with any other.
   bool WrongEra = Era && Known.Written_.Era_ > Era->First_.Era_;
   if (WrongEra)
-    return Admission::Doubted;
+    return Admission::Unconfirmed;
   if (Entry.Written_ <= Known.Written_)
     return Admission::Refused;
-  bool Later = SameEra || (Era && Era->knownAsWritten(Entry.Written_));
-  return Later ? Admission::Admitted : Admission::Doubted;
+  bool Later = SameEra || (Era && Era->surelyContains(Entry.Written_));
+  return Later ? Admission::Admitted : Admission::Unconfirmed;
 }
 
 } // namespace samphireshunt
--- a/Source/Process/Configuration/DepartedServers.h
+++ b/Source/Process/Configuration/DepartedServers.h
@@ -20,7 +20,7 @@
 
   /// True if an entry with this position was certainly written in this era;
   /// false also for entries that were written before the era was seen.
-  bool knownAsWritten(const StorePosition &Written) const {
+  bool surelyContains(const StorePosition &Written) const {
     return Written.Era_ == First_.Era_ && Written > First_;
   }
 };
@@ -28,8 +28,8 @@
 /// Whether an entry of a server is accepted.
 enum class Admission {
   Admitted,
-  Doubted, ///< From the backup of an era; may be outdated.
-  Refused  ///< Older than what is known.
+  Unconfirmed, ///< From the backup of an era; may be outdated.
+  Refused      ///< Older than what is known.
 };
 
 class DepartedServers {
@@ -48,9 +48,9 @@
     bool FromService_ = false;
   };
 
-  void left(const std::string &Name, Departure Known);
+  void markDeparted(const std::string &Name, Departure Known);
   /// Called when the server accepts work again.
-  void cameBack(const std::string &Name) { Departures_.erase(Name); }
+  void markReturned(const std::string &Name) { Departures_.erase(Name); }
   /// Decides whether the entry was written after the departure. \p Era is unset
   /// as long as no era has begun.
   Admission admits(const std::string &Name, const Candidate &Entry,
@@ -58,7 +58,7 @@
 
 private:
   /// Bounds memory, since servers come and go indefinitely.
-  static constexpr std::size_t MostDepartures = 10000;
+  static constexpr std::size_t MaxDepartures = 10000;
 
   std::map<std::string, Departure> Departures_;
 };
--- a/Source/Process/Configuration/DirectoryView.cpp
+++ b/Source/Process/Configuration/DirectoryView.cpp
@@ -48,7 +48,7 @@
   return noteRemoved(Entries_.erase(Name));
 }
 
-bool DirectoryView::seen(const RegisteredServer &Server) {
+bool DirectoryView::addOrUpdate(const RegisteredServer &Server) {
   Entry &Target = Entries_[Server.Server_.Name_];
   // An entry that an earlier process of the server wrote may arrive late, from
   // a daemon that is behind. Applying it would restore an outdated leaving
@@ -63,7 +63,7 @@
   return true;
 }
 
-bool DirectoryView::missing(const ServerName &Name, BootTime Now) {
+bool DirectoryView::markMissing(const ServerName &Name, BootTime Now) {
   auto Found = Entries_.find(Name);
   if (Found == Entries_.end())
     return false;
@@ -82,11 +82,11 @@
       Absent.push_back(Name);
   bool Changed = false;
   for (const ServerName &Name : Absent)
-    Changed |= missing(Name, Now);
+    Changed |= markMissing(Name, Now);
   return Changed;
 }
 
-bool DirectoryView::keepOnly(const std::set<ServerName> &Names) {
+bool DirectoryView::retainOnly(const std::set<ServerName> &Names) {
   auto Removed = std::erase_if(
       Entries_, [&](const auto &Item) { return !Names.contains(Item.first); });
   return noteRemoved(Removed);
@@ -96,11 +96,11 @@
 
 void DirectoryView::outageEnded(BootTime Now) {
   if (Outage_)
-    KeepUntil_ = Now + RegisterAgainTime_;
+    RetainUntil_ = Now + RegisterAgainTime_;
   Outage_ = false;
 }
 
-bool DirectoryView::dropUnseen(BootTime Now) {
+bool DirectoryView::dropMissing(BootTime Now) {
   if (inOutage(Now))
     return false;
   auto Dropped = std::erase_if(
@@ -113,7 +113,7 @@
       Entries_, [](const auto &Item) { return Item.second.Missing_; });
   if (Outage_ || !Any)
     return std::nullopt;
-  return KeepUntil_;
+  return RetainUntil_;
 }
 
 std::vector<ServerName> DirectoryView::missingNames() const {
--- a/Source/Process/Configuration/DirectoryView.h
+++ b/Source/Process/Configuration/DirectoryView.h
@@ -30,9 +30,9 @@
 
   /// Adds or updates a server.
   /// \returns true if this changed the result of servers().
-  bool seen(const RegisteredServer &Server);
+  bool addOrUpdate(const RegisteredServer &Server);
   /// Called when the entry was removed, or is missing in a complete list.
-  bool missing(const ServerName &Name, BootTime Now);
+  bool markMissing(const ServerName &Name, BootTime Now);
   /// Called when a complete list was read; servers that are not in it are
   /// missing.
   bool listed(const std::set<ServerName> &Names, BootTime Now);
@@ -42,8 +42,8 @@
   /// Called when the service answers again.
   void outageEnded(BootTime Now);
   /// Drops servers that are still missing once their retention time is over.
-  bool dropUnseen(BootTime Now);
-  /// When dropUnseen() next has something to do.
+  bool dropMissing(BootTime Now);
+  /// When dropMissing() next has something to do.
   std::optional<BootTime> nextDrop() const;
 
   ServersByPool servers() const;
@@ -61,7 +61,7 @@
   /// \returns true if the server was known.
   bool remove(const ServerName &Name);
   /// Removes all servers except \p Names. \returns true if any were removed.
-  bool keepOnly(const std::set<ServerName> &Names);
+  bool retainOnly(const std::set<ServerName> &Names);
 
 private:
   struct Entry {
@@ -70,12 +70,12 @@
   };
   /// Resets the digest if any servers were removed. \returns whether any were.
   bool noteRemoved(std::size_t Count);
-  bool inOutage(BootTime Now) const { return Outage_ || Now < KeepUntil_; }
+  bool inOutage(BootTime Now) const { return Outage_ || Now < RetainUntil_; }
 
   BootClock::duration RegisterAgainTime_;
   std::map<ServerName, Entry> Entries_;
   bool Outage_ = false;
-  BootTime KeepUntil_;
+  BootTime RetainUntil_;
   /// Unset after a change of the servers, until it is computed again.
   mutable std::optional<std::uint64_t> Digest_;
 };
--- a/Source/Process/Configuration/DocumentTransfer.cpp
+++ b/Source/Process/Configuration/DocumentTransfer.cpp
@@ -7,13 +7,13 @@
 
 namespace samphireshunt {
 
-void DocumentTexts::keep(DocumentVersion Number, const std::string &Text) {
+void DocumentTexts::store(DocumentVersion Number, const std::string &Text) {
   if (Number <= newest() || Text.size() > MaxTextBytes)
     return;
   Texts_[Number] = Text;
   NewestHash_ = stableHash(Text);
   Packed_.clear();
-  if (Texts_.size() > MostTexts)
+  if (Texts_.size() > MaxTexts)
     Texts_.erase(Texts_.begin());
 }
 
@@ -35,7 +35,7 @@
   return Found->second = std::move(Compressed).value_or("");
 }
 
-wire::TextPartT DocumentTexts::part(const wire::TextAskT &Request) {
+wire::TextPartT DocumentTexts::chunk(const wire::TextAskT &Request) {
   wire::TextPartT Chunk;
   Chunk.version = Request.version;
   Chunk.offset = Request.offset;
@@ -52,7 +52,7 @@
   Chunk.size = static_cast<std::uint32_t>(Texts_.rbegin()->second.size());
   Chunk.hash = NewestHash_;
   Chunk.packed_size = static_cast<std::uint32_t>(Whole.size());
-  auto Bytes = std::string_view(Whole).substr(Request.offset, TextPartBytes);
+  auto Bytes = std::string_view(Whole).substr(Request.offset, TextChunkBytes);
   Chunk.bytes.assign(Bytes.begin(), Bytes.end());
   return Chunk;
 }
@@ -63,26 +63,27 @@
 }
 
 std::optional<wire::TextAskT>
-DocumentTransfer::named(DocumentVersion Wanted, std::optional<std::size_t> Size,
-                        DocumentVersion Known, TimePoint Now) {
+DocumentTransfer::onAnnounced(DocumentVersion Wanted,
+                              std::optional<std::size_t> Size,
+                              DocumentVersion Known, TimePoint Now) {
   if (Size && (*Size == 0 || *Size > MaxTextBytes))
     return std::nullopt;
-  if (Wanted == Wanted_ && Now - AskedAt_ < PartTime)
+  if (Wanted == Wanted_ && Now - RequestedAt_ < ChunkTimeout)
     return std::nullopt;
   if (Wanted != Wanted_) {
     drop();
     Wanted_ = Wanted;
     Size_ = Size;
-    Held_ = Wanted == BrokenOnce_ ? DocumentVersion() : Known;
+    RequestedPrefix_ = Wanted == LastInvalid_ ? DocumentVersion() : Known;
   }
-  AskedAt_ = Now;
-  return question();
+  RequestedAt_ = Now;
+  return nextRequest();
 }
 
-wire::TextAskT DocumentTransfer::question() const {
+wire::TextAskT DocumentTransfer::nextRequest() const {
   wire::TextAskT Request;
   Request.version = Wanted_.count();
-  Request.held_version = Held_.count();
+  Request.held_version = RequestedPrefix_.count();
   Request.offset = static_cast<std::uint32_t>(Packed_.size());
   return Request;
 }
@@ -111,9 +112,9 @@
   Packed_.append(Chunk.bytes.begin(), Chunk.bytes.end());
   if (Packed_.size() == PackedSize_)
     return finish(Chunk, Texts);
-  AskedAt_ = Now;
+  RequestedAt_ = Now;
   Step Next;
-  Next.Ask_ = question();
+  Next.Request_ = nextRequest();
   return Next;
 }
 
@@ -121,9 +122,10 @@
   bool AsBefore = Chunk.size == Size_ && Chunk.packed_size == PackedSize_ &&
                   Chunk.hash == Hash_ &&
                   DocumentVersion(Chunk.held_version) == Prefix_;
-  bool AsRequested = Prefix_ == Held_ || Prefix_ == DocumentVersion();
+  bool AsRequested =
+      Prefix_ == RequestedPrefix_ || Prefix_ == DocumentVersion();
   return AsBefore && AsRequested && !Chunk.bytes.empty() &&
-         Chunk.size <= MaxTextBytes && PackedSize_ <= mostPacked(*Size_) &&
+         Chunk.size <= MaxTextBytes && PackedSize_ <= maxPackedSize(*Size_) &&
          Chunk.bytes.size() <= PackedSize_ - Packed_.size();
 }
 
@@ -142,10 +144,10 @@
 }
 
 DocumentTransfer::Step DocumentTransfer::broken() {
-  BrokenOnce_ = Wanted_;
+  LastInvalid_ = Wanted_;
   drop();
   Step Failed;
-  Failed.Broken_ = true;
+  Failed.Invalid_ = true;
   return Failed;
 }
 
--- a/Source/Process/Configuration/DocumentTransfer.h
+++ b/Source/Process/Configuration/DocumentTransfer.h
@@ -25,7 +25,7 @@
 /// Twelve followers of a reader that wait for one chunk each delay its answer
 /// by 0.16 s on a link of 10 Mbit/s, less than the 0.4 s that an answer may
 /// take.
-inline constexpr std::size_t TextPartBytes = 16 * 1024;
+inline constexpr std::size_t TextChunkBytes = 16 * 1024;
 
 /// Longer texts are rejected, so that a wrong size can't exhaust the 64 MB of
 /// memory that a daemon may need for control.
@@ -37,18 +37,18 @@
 public:
   /// Stores a text. Does nothing unless \p Number is newer than all stored
   /// texts.
-  void keep(DocumentVersion Number, const std::string &Text);
+  void store(DocumentVersion Number, const std::string &Text);
   /// \returns a null pointer if the text is not stored.
   const std::string *find(DocumentVersion Number) const;
   /// The newest stored version; 0 if there is none.
   DocumentVersion newest() const;
   /// The requested chunk; without bytes if the text is not available.
-  wire::TextPartT part(const wire::TextAskT &Request);
+  wire::TextPartT chunk(const wire::TextAskT &Request);
 
 private:
   /// The newest text and two earlier ones, since changes may come seconds
   /// apart.
-  static constexpr std::size_t MostTexts = 3;
+  static constexpr std::size_t MaxTexts = 3;
 
   /// The newest text, compressed with the text \p PrefixVersion as prefix.
   /// Compressed once for all daemons that ask.
@@ -66,12 +66,12 @@
 
   /// The action that follows from a chunk.
   struct Step {
-    std::optional<wire::TextAskT> Ask_;
+    std::optional<wire::TextAskT> Request_;
     /// The whole text, once complete.
     std::optional<std::string> Text_;
     /// The chunk or the text was invalid. The transfer starts again when the
     /// version is announced again.
-    bool Broken_ = false;
+    bool Invalid_ = false;
   };
 
   /// True if \p Announced is newer than \p Known and than every text that was
@@ -81,9 +81,10 @@
   /// text replaces the one in transfer. \p Size is unset if only the version
   /// was announced.
   /// \returns the request to send, if any.
-  std::optional<wire::TextAskT> named(DocumentVersion Wanted,
-                                      std::optional<std::size_t> Size,
-                                      DocumentVersion Known, TimePoint Now);
+  std::optional<wire::TextAskT> onAnnounced(DocumentVersion Wanted,
+                                            std::optional<std::size_t> Size,
+                                            DocumentVersion Known,
+                                            TimePoint Now);
   Step received(const wire::TextPartT &Chunk, const DocumentTexts &Texts,
                 TimePoint Now);
   /// Called when the reader has changed or is gone.
@@ -96,9 +97,9 @@
   /// A chunk that has not arrived by then was lost with its link or its
   /// reader's process. The chunks of twelve followers take a tenth of this time
   /// on a weak link.
-  static constexpr std::chrono::milliseconds PartTime{1500};
+  static constexpr std::chrono::milliseconds ChunkTimeout{1500};
 
-  wire::TextAskT question() const;
+  wire::TextAskT nextRequest() const;
   bool fits(const wire::TextPartT &Chunk) const;
   Step finish(const wire::TextPartT &LastChunk, const DocumentTexts &Texts);
   Step broken();
@@ -106,18 +107,18 @@
   DocumentVersion Wanted_;
   std::optional<std::size_t> Size_;
   /// Version of the requested prefix.
-  DocumentVersion Held_;
+  DocumentVersion RequestedPrefix_;
   /// From the first chunk; all later chunks must state the same.
   std::size_t PackedSize_ = 0;
   std::uint64_t Hash_ = 0;
   DocumentVersion Prefix_;
   std::string Packed_;
-  TimePoint AskedAt_;
+  TimePoint RequestedAt_;
   /// The newest version that arrived whole, even if it could not be parsed.
   DocumentVersion Finished_;
   /// The version whose last transfer was invalid; it is requested without a
   /// prefix.
-  DocumentVersion BrokenOnce_;
+  DocumentVersion LastInvalid_;
 };
 
 } // namespace samphireshunt
--- a/Source/Process/Configuration/FreshnessLease.h
+++ b/Source/Process/Configuration/FreshnessLease.h
@@ -54,7 +54,7 @@
     }
   }
   /// Records that the newest known configuration is active.
-  void newestInForce() { NewerSince_.store(Never); }
+  void newestActive() { NewerSince_.store(Never); }
   /// How long a newer configuration has been known; 0 if there is none.
   BootClock::duration behind(BootTime Now) const {
     auto Since = NewerSince_.load();
--- a/Source/Process/Configuration/MeasuredPlatform.cpp
+++ b/Source/Process/Configuration/MeasuredPlatform.cpp
@@ -11,7 +11,7 @@
 template <class Value>
 Awaitable<Result<Value>> measured(std::string Call,
                                   Awaitable<Result<Value>> Inner,
-                                  PlatformCallSeen Seen) {
+                                  PlatformCallObserver Seen) {
   auto Begin = steady_clock::now();
   auto Answer = co_await std::move(Inner);
   // A failure that the service itself reports still counts as an answer.
@@ -24,7 +24,7 @@
 
 } // namespace
 
-PlatformHooks measuredPlatform(PlatformHooks Inner, PlatformCallSeen Seen) {
+PlatformHooks measuredPlatform(PlatformHooks Inner, PlatformCallObserver Seen) {
   PlatformHooks Hooks;
   Hooks.Get_ = [Call = std::move(Inner.Get_), Seen](std::string Key) {
     return measured("get", Call(std::move(Key)), Seen);
@@ -44,7 +44,7 @@
                         std::chrono::milliseconds Wait) {
     return measured("watch", Call(std::move(Prefix), After, Wait), Seen);
   };
-  Hooks.AnswerComes_ = std::move(Inner.AnswerComes_);
+  Hooks.AnswerArriving_ = std::move(Inner.AnswerArriving_);
   Hooks.Vms_ = [Call = std::move(Inner.Vms_), Seen]() {
     return measured("vms", Call(), Seen);
   };
--- a/Source/Process/Configuration/MeasuredPlatform.h
+++ b/Source/Process/Configuration/MeasuredPlatform.h
@@ -10,11 +10,11 @@
 
 /// Called after each call with its name, whether it succeeded, and its
 /// duration.
-using PlatformCallSeen = std::function<void(
+using PlatformCallObserver = std::function<void(
     const std::string &Call, bool Succeeded, std::chrono::microseconds Time)>;
 
 /// Wraps \p Inner so that each call is reported to \p Seen, which must outlive
 /// the hooks.
-PlatformHooks measuredPlatform(PlatformHooks Inner, PlatformCallSeen Seen);
+PlatformHooks measuredPlatform(PlatformHooks Inner, PlatformCallObserver Seen);
 
 } // namespace samphireshunt
--- a/Source/Process/Configuration/PeerFollower.cpp
+++ b/Source/Process/Configuration/PeerFollower.cpp
@@ -37,11 +37,11 @@
                            Hooks Reactions)
     : Timer_(Control), Self_(Self), Service_(Service), View_(View),
       Freshness_(Freshness), Options_(Settings), Hooks_(std::move(Reactions)),
-      Heard_(Settings.Heard_) {}
+      Announced_(Settings.Announced_) {}
 
 void PeerFollower::start() {
   Started_ = steady_clock::now();
-  schedule(Options_.AskTime_);
+  schedule(Options_.RequestInterval_);
 }
 
 void PeerFollower::schedule(milliseconds Delay) {
@@ -54,36 +54,36 @@
 
 void PeerFollower::onTimer() {
   forgetFollowers();
-  askForHeardVersion();
+  requestAnnouncedVersion();
   if (!Awaiting_ || !Reader_)
     return choose();
   if (!std::exchange(Overdue_, true))
     return schedule(RecheckTime);
-  passOver(VmId(*Reader_), Fault::Silent, "no answer");
+  abandonReader(VmId(*Reader_), Fault::Silent, "no answer");
 }
 
 /// Asks the first reader that has not failed recently. After several failures
 /// asks the service, until these expire.
 void PeerFollower::choose() {
   auto Now = steady_clock::now();
-  std::erase_if(PassedOver_,
+  std::erase_if(FailedReaders_,
                 [Now](const auto &Item) { return Item.second.Until_ <= Now; });
-  ReaderChoice Choice = Hooks_.Choose_();
+  ReaderChoice Choice = Hooks_.ChooseReaders_();
   Role_ = Choice.Role_;
   Service_.setRole(Role_);
   auto Usable = pickReader(Choice.Readers_);
   // A spare daemon can ask the service instead; a daemon that is alone already
   // does.
-  auto Silent = std::ranges::count_if(PassedOver_, [](const auto &Item) {
+  auto Silent = std::ranges::count_if(FailedReaders_, [](const auto &Item) {
     return Item.second.Kind_ == Fault::Silent;
   });
   bool TriedEnough = Role_ == StoreRole::Spare &&
-                     std::cmp_greater_equal(Silent, Options_.MostTries_);
-  if (needsReader() && !Usable && !TriedEnough && patient(Now))
-    return schedule(Options_.AskAgainTime_);
+                     std::cmp_greater_equal(Silent, Options_.MaxSilentReaders_);
+  if (needsReader() && !Usable && !TriedEnough && inGraceTime(Now))
+    return schedule(Options_.UnusableRetryTime_);
   if (!needsReader() || !Usable || TriedEnough) {
     readService(SawOldState_);
-    return schedule(Options_.AskTime_);
+    return schedule(Options_.RequestInterval_);
   }
   if (Reader_ != *Usable) {
     Transfer_.drop();
@@ -92,7 +92,7 @@
     ReaderProcess_ = 0;
     ReaderNumber_ = 0;
   }
-  ask();
+  sendRequest();
 }
 
 /// If the view of the members flaps, e.g. next to a burst of load, other
@@ -101,12 +101,12 @@
 std::optional<VmId>
 PeerFollower::pickReader(const std::vector<VmId> &Readers) const {
   bool Stays = Reader_ && std::ranges::count(Readers, *Reader_) > 0 &&
-               !PassedOver_.contains(*Reader_) &&
-               steady_clock::now() - FollowedSince_ < Options_.StayTime_;
+               !FailedReaders_.contains(*Reader_) &&
+               steady_clock::now() - FollowedSince_ < Options_.MinFollowTime_;
   if (Stays)
     return Reader_;
   auto Usable = std::ranges::find_if(Readers, [this](const VmId &Reader) {
-    return !PassedOver_.contains(Reader);
+    return !FailedReaders_.contains(Reader);
   });
   return Usable == Readers.end() ? std::nullopt : std::optional(*Usable);
 }
@@ -123,12 +123,12 @@
   }
 }
 
-bool PeerFollower::patient(TimePoint Now) const {
+bool PeerFollower::inGraceTime(TimePoint Now) const {
   return Role_ == StoreRole::Spare && Service_.paused() &&
-         Now - LastAnswer_ < Options_.PatientTime_;
+         Now - LastAnswer_ < Options_.OutageGraceTime_;
 }
 
-void PeerFollower::ask() {
+void PeerFollower::sendRequest() {
   wire::FollowT Request;
   Request.sequence = ++Sequence_;
   Request.incarnation = ReaderProcess_;
@@ -138,22 +138,22 @@
   Awaiting_ = true;
   Overdue_ = false;
   Unanswered_.insert(*Reader_);
-  AskedAt_ = BootClock::now();
-  schedule(Options_.AnswerTime_);
+  RequestedAt_ = BootClock::now();
+  schedule(Options_.AnswerTimeout_);
   // This comes last, since a link that can't be opened may be reported at once.
   Hooks_.Send_(VmId(*Reader_), encodeMessage(std::move(Request)));
 }
 
-void PeerFollower::passOver(const VmId &Reader, Fault Kind,
-                            std::string_view Why) {
+void PeerFollower::abandonReader(const VmId &Reader, Fault Kind,
+                                 std::string_view Why) {
   // In an outage of the service no daemon can be followed, and one log line is
   // enough.
   if (ReaderNumber_ > 0)
     logEvent(LogCategory::Process, spdlog::level::info, "reader-passed-over",
              {{"reader", Reader.str()}, {"detail", std::string(Why)}});
-  milliseconds Time =
-      Kind == Fault::Silent ? Options_.TryAgainTime_ : Options_.AskAgainTime_;
-  PassedOver_[Reader] = {Kind, steady_clock::now() + Time};
+  milliseconds Time = Kind == Fault::Silent ? Options_.SilentRetryTime_
+                                            : Options_.UnusableRetryTime_;
+  FailedReaders_[Reader] = {Kind, steady_clock::now() + Time};
   Awaiting_ = false;
   Reader_.reset();
   Transfer_.drop();
@@ -179,12 +179,12 @@
   if (State.sequence != 0 && !Answer)
     return;
   milliseconds Age(State.age_ms);
-  SawOldState_ = Age > (Role_ == StoreRole::Alone ? Options_.OldestAgeOfAlone_
-                                                  : Options_.OldestAge_);
+  SawOldState_ = Age > (Role_ == StoreRole::Alone ? Options_.MaxStateAgeOfAlone_
+                                                  : Options_.MaxStateAge_);
   if (SawOldState_)
-    return passOver(From, Fault::Useless, "it has lost the service");
+    return abandonReader(From, Fault::Unusable, "it has lost the service");
   if (!State.reads_service)
-    return passOver(From, Fault::Useless, "it does not read the service");
+    return abandonReader(From, Fault::Unusable, "it does not read the service");
   bool Same = State.incarnation == ReaderProcess_;
   bool Continues = State.same_digest == 0
                        ? Same && State.after <= ReaderNumber_
@@ -194,33 +194,33 @@
     // has all changes since the requested number.
     if (!Answer)
       return;
-    return passOver(From, Fault::Useless, "its answer has a gap");
+    return abandonReader(From, Fault::Unusable, "its answer has a gap");
   }
   StorePosition Reached{StoreEra(State.era), Revision(State.revision)};
   auto Changes = changesOf(State);
   if (!Changes)
-    return passOver(From, Fault::Useless, Changes.error().Detail_);
+    return abandonReader(From, Fault::Unusable, Changes.error().Detail_);
   if (!View_.follow(*Changes, Reached, Revision(State.era_first)))
-    return passOver(From, Fault::Useless, "it is behind");
-  Service_.planDrops();
+    return abandonReader(From, Fault::Unusable, "it is behind");
+  Service_.scheduleDrops();
   ReaderProcess_ = State.incarnation;
   ReaderNumber_ = State.number;
   noteLag(State);
   if (Answer)
     onAnswer(From, State);
-  askForText(State);
+  requestText(State);
 }
 
 void PeerFollower::onAnswer(const VmId &From, const wire::StateT &State) {
   Awaiting_ = false;
   LastAnswer_ = steady_clock::now();
-  View_.heardAt(AskedAt_ - milliseconds(State.age_ms));
+  View_.appliedAsOf(RequestedAt_ - milliseconds(State.age_ms));
   Service_.entryMissing(State.lacks_entry);
   // A reader that lacks the version active here can't confirm that it is the
   // newest.
   bool NamesNone = State.text_version == 0;
   if (NamesNone || DocumentVersion(State.text_version) == View_.version())
-    Freshness_.renew(AskedAt_ - milliseconds(State.age_ms) -
+    Freshness_.renew(RequestedAt_ - milliseconds(State.age_ms) -
                      milliseconds(State.unconfirmed_ms));
   bool Spare = Role_ == StoreRole::Spare;
   if (Spare && !Service_.paused()) {
@@ -229,7 +229,7 @@
         {{"reader", From.str()}, {"revision", std::to_string(State.revision)}});
     Service_.pause();
   }
-  schedule(Options_.AskTime_);
+  schedule(Options_.RequestInterval_);
 }
 
 bool PeerFollower::lacksTextOf(const wire::StateT &State) const {
@@ -239,12 +239,12 @@
 
 void PeerFollower::noteLag(const wire::StateT &State) {
   if (!lacksTextOf(State))
-    return Freshness_.newestInForce();
+    return Freshness_.newestActive();
   BootTime Now = BootClock::now();
   Freshness_.newerKnown(Now - milliseconds(State.text_age_ms));
   DocumentVersion Announced(State.text_version);
   if (!Freshness_.overdue(Now) ||
-      std::exchange(OverdueText_, Announced) == Announced)
+      std::exchange(LoggedOverdue_, Announced) == Announced)
     return;
   auto Behind = duration_cast<milliseconds>(Freshness_.behind(Now));
   logEvent(LogCategory::Process, spdlog::level::warn, "configuration-overdue",
@@ -255,114 +255,115 @@
             {"newer_known_ms", std::to_string(Behind.count())}});
 }
 
-void PeerFollower::askForText(const wire::StateT &State) {
+void PeerFollower::requestText(const wire::StateT &State) {
   if (!lacksTextOf(State))
     return;
   DocumentVersion Announced(State.text_version);
   if (State.text_size > MaxTextBytes &&
-      std::exchange(TooLong_, Announced) != Announced)
+      std::exchange(LoggedTooLong_, Announced) != Announced)
     logEvent(LogCategory::Process, spdlog::level::err, "configuration-too-long",
              {{"version", std::to_string(Announced.count())},
               {"size", std::to_string(State.text_size)}});
-  auto Request = Transfer_.named(Announced, State.text_size, Texts_.newest(),
-                                 steady_clock::now());
+  auto Request = Transfer_.onAnnounced(Announced, State.text_size,
+                                       Texts_.newest(), steady_clock::now());
   if (Request)
     Hooks_.Send_(VmId(*Reader_), encodeMessage(std::move(*Request)));
 }
 
-void PeerFollower::onTextPart(const VmId &From, const wire::TextPartT &Chunk) {
+void PeerFollower::onTextChunk(const VmId &From, const wire::TextPartT &Chunk) {
   DocumentVersion Version(Chunk.version);
   if (Reader_ == From && Transfer_.wanted() == Version)
-    return takeStep(From, Chunk,
-                    Transfer_.received(Chunk, Texts_, steady_clock::now()));
-  if (HeardFrom_ == From && HeardTransfer_.wanted() == Version)
-    onHeardPart(Chunk);
+    return applyStep(From, Chunk,
+                     Transfer_.received(Chunk, Texts_, steady_clock::now()));
+  if (AnnouncedFrom_ == From && AnnouncedTransfer_.wanted() == Version)
+    onAnnouncedChunk(Chunk);
 }
 
-void PeerFollower::onHeardPart(const wire::TextPartT &Chunk) {
-  VmId From = *HeardFrom_;
+void PeerFollower::onAnnouncedChunk(const wire::TextPartT &Chunk) {
+  VmId From = *AnnouncedFrom_;
   if (Chunk.size == 0) {
-    Heard_.notHandedOver(From, steady_clock::now());
-    HeardTransfer_.drop();
+    Announced_.notDelivered(From, steady_clock::now());
+    AnnouncedTransfer_.drop();
     return;
   }
   // Only a text that arrives proves that the version exists.
   Freshness_.newerKnown(BootClock::now());
-  takeStep(From, Chunk,
-           HeardTransfer_.received(Chunk, Texts_, steady_clock::now()));
+  applyStep(From, Chunk,
+            AnnouncedTransfer_.received(Chunk, Texts_, steady_clock::now()));
 }
 
-void PeerFollower::takeStep(const VmId &From, const wire::TextPartT &Chunk,
-                            DocumentTransfer::Step Next) {
-  if (Next.Broken_)
+void PeerFollower::applyStep(const VmId &From, const wire::TextPartT &Chunk,
+                             DocumentTransfer::Step Next) {
+  if (Next.Invalid_)
     logEvent(LogCategory::Process, spdlog::level::warn, "configuration-broken",
              {{"from", From.str()},
               {"version", std::to_string(Chunk.version)},
               {"size", std::to_string(Chunk.size)}});
-  if (Next.Ask_)
-    Hooks_.Send_(From, encodeMessage(std::move(*Next.Ask_)));
+  if (Next.Request_)
+    Hooks_.Send_(From, encodeMessage(std::move(*Next.Request_)));
   DocumentVersion Version(Chunk.version);
   if (!Next.Text_ || Version <= View_.version())
     return;
-  if (!View_.takeText(Version, std::move(*Next.Text_)))
-    return Heard_.notHandedOver(From, steady_clock::now());
-  Freshness_.newestInForce();
+  if (!View_.applyText(Version, std::move(*Next.Text_)))
+    return Announced_.notDelivered(From, steady_clock::now());
+  Freshness_.newestActive();
   // The lease was not renewed during the transfer.
   if (Reader_ && !Awaiting_)
-    ask();
+    sendRequest();
 }
 
-void PeerFollower::onVersionHeard(const VmId &From, DocumentVersion Version) {
-  Heard_.heard(From, Version, View_.version(), steady_clock::now());
+void PeerFollower::onVersionAnnounced(const VmId &From,
+                                      DocumentVersion Version) {
+  Announced_.noteAnnounced(From, Version, View_.version(), steady_clock::now());
 }
 
-bool PeerFollower::lacksHeardVersion() {
-  return Heard_.missing(View_.version(), steady_clock::now()).has_value();
+bool PeerFollower::lacksAnnouncedVersion() {
+  return Announced_.missing(View_.version(), steady_clock::now()).has_value();
 }
 
-void PeerFollower::askForHeardVersion() {
+void PeerFollower::requestAnnouncedVersion() {
   auto Now = steady_clock::now();
-  auto Wanted = Heard_.due(View_.version(), Now);
-  if (!Wanted || Reader_ == Wanted->By_)
+  auto Wanted = Announced_.due(View_.version(), Now);
+  if (!Wanted || Reader_ == Wanted->Announcer_)
     return;
-  if (HeardFrom_ != Wanted->By_)
-    HeardTransfer_.drop();
-  HeardFrom_ = Wanted->By_;
-  auto Request = HeardTransfer_.named(Wanted->Version_, std::nullopt,
-                                      Texts_.newest(), Now);
+  if (AnnouncedFrom_ != Wanted->Announcer_)
+    AnnouncedTransfer_.drop();
+  AnnouncedFrom_ = Wanted->Announcer_;
+  auto Request = AnnouncedTransfer_.onAnnounced(Wanted->Version_, std::nullopt,
+                                                Texts_.newest(), Now);
   if (!Request)
     return;
   logEvent(LogCategory::Process, spdlog::level::info, "asking-for-version",
-           {{"from", Wanted->By_.str()},
+           {{"from", Wanted->Announcer_.str()},
             {"version", std::to_string(Wanted->Version_.count())}});
-  Hooks_.Send_(Wanted->By_, encodeMessage(std::move(*Request)));
+  Hooks_.Send_(Wanted->Announcer_, encodeMessage(std::move(*Request)));
 }
 
 /// Stores the active text, which serves as compression prefix with whichever
 /// daemon is followed later.
-void PeerFollower::keepText() {
+void PeerFollower::storeText() {
   const KeyValue *Known = View_.log().find(View_.layout().ConfigurationKey_);
   if (Known)
-    Texts_.keep(View_.version(), Known->Value_);
+    Texts_.store(View_.version(), Known->Value_);
 }
 
 void PeerFollower::onLinkDown(const VmId &Reader) {
   Unanswered_.erase(Reader);
   if (Reader_ == Reader)
-    passOver(VmId(Reader), Fault::Silent, "its link broke");
+    abandonReader(VmId(Reader), Fault::Silent, "its link broke");
 }
 
 bool PeerFollower::awaiting(const VmId &Reader) const {
   return Unanswered_.contains(Reader);
 }
 
-bool PeerFollower::inTouch() const {
+bool PeerFollower::hasSource() const {
   if (!Service_.paused())
     return Service_.platformReachable();
-  return Reader_.has_value() || patient(steady_clock::now());
+  return Reader_.has_value() || inGraceTime(steady_clock::now());
 }
 
-void PeerFollower::nameText(wire::StateT &State) const {
+void PeerFollower::addTextVersion(wire::StateT &State) const {
   const KeyValue *Known = View_.log().find(View_.layout().ConfigurationKey_);
   if (!Known)
     return;
@@ -371,7 +372,7 @@
   State.text_age_ms = millisSince(View_.configurationReadAt());
 }
 
-wire::StateT PeerFollower::standing() const {
+wire::StateT PeerFollower::currentState() const {
   wire::StateT State;
   State.incarnation = Self_.count();
   State.number = View_.log().last();
@@ -394,20 +395,20 @@
   ChangeLog::Changes Changes = View_.told(After, TextKey);
   State.after = After;
   State.complete = Changes.Complete_;
-  State.unsure = Changes.Unsure_;
+  State.unsure = Changes.Unverified_;
   Entries_.put(Changes, SeparateText, After, State);
 }
 
-void PeerFollower::tell(const VmId &To, std::uint32_t Sequence,
-                        std::uint64_t After, bool SameServers) {
+void PeerFollower::sendState(const VmId &To, std::uint32_t Sequence,
+                             std::uint64_t After, bool SameServers) {
   Follower &Known = Followers_[To];
-  wire::StateT State = standing();
-  if (Known.Apart_)
-    nameText(State);
+  wire::StateT State = currentState();
+  if (Known.SeparateText_)
+    addTextVersion(State);
   if (SameServers)
     State.same_digest = View_.digest();
   else
-    addChanges(After, Known.Apart_, State);
+    addChanges(After, Known.SeparateText_, State);
   State.sequence = Sequence;
   State.lacks_entry = !View_.hasDaemon(To);
   Known.Number_ = State.number;
@@ -417,30 +418,32 @@
 /// A daemon that followed another reader before usually has the same servers
 /// already, and then receives only their digest.
 void PeerFollower::onFollow(const VmId &From, const wire::FollowT &Request) {
-  Followers_[From].LastAsked_ = steady_clock::now();
-  Followers_[From].Apart_ = Request.text_apart;
+  Followers_[From].LastRequest_ = steady_clock::now();
+  Followers_[From].SeparateText_ = Request.text_apart;
   bool Continues = Request.incarnation == Self_.count();
   bool SameServers = !Continues && Request.text_apart && Request.digest != 0 &&
                      Request.digest == View_.digest();
-  tell(From, Request.sequence, Continues ? Request.number : 0, SameServers);
+  sendState(From, Request.sequence, Continues ? Request.number : 0,
+            SameServers);
 }
 
-void PeerFollower::onTextAsk(const VmId &From, const wire::TextAskT &Request) {
-  Hooks_.Reply_(From, encodeMessage(Texts_.part(Request)));
+void PeerFollower::onTextRequest(const VmId &From,
+                                 const wire::TextAskT &Request) {
+  Hooks_.Reply_(From, encodeMessage(Texts_.chunk(Request)));
 }
 
 void PeerFollower::onChanged() {
-  keepText();
+  storeText();
   forgetFollowers();
   for (auto &[Name, Known] : Followers_)
     if (Known.Number_ != View_.log().last())
-      tell(Name, 0, Known.Number_, /*SameServers=*/false);
+      sendState(Name, 0, Known.Number_, /*SameServers=*/false);
 }
 
 void PeerFollower::forgetFollowers() {
   auto Now = steady_clock::now();
   std::erase_if(Followers_, [&](const auto &Item) {
-    return Now - Item.second.LastAsked_ > Options_.ForgetTime_;
+    return Now - Item.second.LastRequest_ > Options_.FollowerTimeout_;
   });
 }
 
--- a/Source/Process/Configuration/PeerFollower.h
+++ b/Source/Process/Configuration/PeerFollower.h
@@ -20,9 +20,9 @@
 /// service, is requested from the daemon that announced it.
 
 #include "Connection/PeerMessage.h"
+#include "Process/Configuration/AnnouncedVersions.h"
 #include "Process/Configuration/DocumentTransfer.h"
 #include "Process/Configuration/FreshnessLease.h"
-#include "Process/Configuration/HeardVersions.h"
 #include "Process/Configuration/StateEntries.h"
 #include "Process/Configuration/StoreFollower.h"
 #include "Process/Configuration/StoreReaders.h"
@@ -44,18 +44,18 @@
   struct Options {
     /// How often the reader is asked. Together with the answer time this bounds
     /// how long a change may go unnoticed when readers freeze.
-    std::chrono::milliseconds AskTime_{500};
-    std::chrono::milliseconds AnswerTime_{400};
+    std::chrono::milliseconds RequestInterval_{500};
+    std::chrono::milliseconds AnswerTimeout_{400};
     /// A reader whose own state is older than this has lost the service:
     /// readers confirm theirs every 600 ms.
-    std::chrono::milliseconds OldestAge_{1200};
+    std::chrono::milliseconds MaxStateAge_{1200};
     /// The same in a small fleet, where each daemon confirms its own state
     /// every 3.2 s.
-    std::chrono::milliseconds OldestAgeOfAlone_{4000};
+    std::chrono::milliseconds MaxStateAgeOfAlone_{4000};
     /// How many silent readers are tried before the service is asked. A reader
     /// that answers that it has lost the service is not counted: it costs no
     /// time, and another one may have the service.
-    std::size_t MostTries_ = 2;
+    std::size_t MaxSilentReaders_ = 2;
     /// While no reader has the service, the readers are asked for this long
     /// after the last good answer, instead of the service. A reader that lost
     /// its watch is back within this time, and an outage affects all daemons
@@ -63,12 +63,12 @@
     /// the largest load that it ever gets, just when it is back. This also
     /// bounds how long a follower may not learn of a leaving server when the
     /// service refuses only the readers.
-    std::chrono::milliseconds PatientTime_{1000};
+    std::chrono::milliseconds OutageGraceTime_{1000};
     /// How long until a reader is asked again that answered that it can't be
     /// followed.
-    std::chrono::milliseconds AskAgainTime_{250};
+    std::chrono::milliseconds UnusableRetryTime_{250};
     /// How long until a reader that failed to answer is tried again.
-    std::chrono::milliseconds TryAgainTime_{1000};
+    std::chrono::milliseconds SilentRetryTime_{1000};
     /// A daemon that starts reads the service itself for this long, until
     /// daemons that started together with it have registered there and have
     /// answered it.
@@ -76,14 +76,14 @@
     /// A reader that answers is followed for at least this long before a better
     /// one is chosen, since each change of readers transfers the complete
     /// state.
-    std::chrono::milliseconds StayTime_{15000};
+    std::chrono::milliseconds MinFollowTime_{15000};
     /// Followers that have not asked for this long receive no changes.
-    std::chrono::milliseconds ForgetTime_{2000};
-    HeardVersions::Options Heard_;
+    std::chrono::milliseconds FollowerTimeout_{2000};
+    AnnouncedVersions::Options Announced_;
   };
   struct Hooks {
     /// Returns this daemon's role, and the readers that it may follow.
-    std::function<ReaderChoice()> Choose_;
+    std::function<ReaderChoice()> ChooseReaders_;
     /// Send a message to a reader, and to a follower on the link that it
     /// opened.
     std::function<void(const VmId &, std::string)> Send_;
@@ -98,69 +98,69 @@
 
   // For use as a follower.
   void onState(const VmId &From, const wire::StateT &State);
-  void onTextPart(const VmId &From, const wire::TextPartT &Chunk);
+  void onTextChunk(const VmId &From, const wire::TextPartT &Chunk);
   void onLinkDown(const VmId &Reader);
   /// Gossip reports that \p From has \p Version active.
-  void onVersionHeard(const VmId &From, DocumentVersion Version);
+  void onVersionAnnounced(const VmId &From, DocumentVersion Version);
   /// True if a version newer than the active one was announced, and is not
   /// given up.
-  bool lacksHeardVersion();
+  bool lacksAnnouncedVersion();
   /// True while an answer from \p Reader is awaited.
   bool awaiting(const VmId &Reader) const;
   /// False if no reader answers, or if none has had the service for a while.
-  bool inTouch() const;
+  bool hasSource() const;
   /// The daemon that is followed, if any.
   const std::optional<VmId> &reader() const { return Reader_; }
 
   // For use as a reader.
   void onFollow(const VmId &From, const wire::FollowT &Request);
-  void onTextAsk(const VmId &From, const wire::TextAskT &Request);
+  void onTextRequest(const VmId &From, const wire::TextAskT &Request);
   /// Sends changes to followers.
   void onChanged();
   std::size_t followers() const { return Followers_.size(); }
 
 private:
   struct Follower {
-    TimePoint LastAsked_;
+    TimePoint LastRequest_;
     std::uint64_t Number_ = 0;
     /// The follower requests the configuration's text separately.
-    bool Apart_ = false;
+    bool SeparateText_ = false;
   };
 
   void schedule(std::chrono::milliseconds Delay);
   void onTimer();
-  void ask();
+  void sendRequest();
   /// Why a reader is abandoned.
-  enum class Fault { Silent, Useless };
-  void passOver(const VmId &Reader, Fault Kind, std::string_view Why);
+  enum class Fault { Silent, Unusable };
+  void abandonReader(const VmId &Reader, Fault Kind, std::string_view Why);
   void choose();
   /// The reader to follow now, out of \p Readers.
   std::optional<VmId> pickReader(const std::vector<VmId> &Readers) const;
   /// True if another daemon should be followed at all.
   bool needsReader() const;
   /// True if the service should not be read for now, although no reader has it.
-  bool patient(TimePoint Now) const;
+  bool inGraceTime(TimePoint Now) const;
   void readService(bool AfterOutage);
   void onAnswer(const VmId &From, const wire::StateT &State);
   /// True if the reader has a configuration newer than any that is here.
   bool lacksTextOf(const wire::StateT &State) const;
   /// Records since when the reader has had a configuration that is not here.
   void noteLag(const wire::StateT &State);
-  void askForText(const wire::StateT &State);
-  void askForHeardVersion();
+  void requestText(const wire::StateT &State);
+  void requestAnnouncedVersion();
   /// Handles a chunk of a text that gossip has announced.
-  void onHeardPart(const wire::TextPartT &Chunk);
+  void onAnnouncedChunk(const wire::TextPartT &Chunk);
   /// Carries out what follows from a chunk of a text.
-  void takeStep(const VmId &From, const wire::TextPartT &Chunk,
-                DocumentTransfer::Step Next);
-  void keepText();
+  void applyStep(const VmId &From, const wire::TextPartT &Chunk,
+                 DocumentTransfer::Step Next);
+  void storeText();
   /// This daemon's state, without changes.
-  wire::StateT standing() const;
+  wire::StateT currentState() const;
   void addChanges(std::uint64_t After, bool SeparateText, wire::StateT &State);
-  void nameText(wire::StateT &State) const;
+  void addTextVersion(wire::StateT &State) const;
   void forgetFollowers();
-  void tell(const VmId &To, std::uint32_t Sequence, std::uint64_t After,
-            bool SameServers);
+  void sendState(const VmId &To, std::uint32_t Sequence, std::uint64_t After,
+                 bool SameServers);
 
   boost::asio::steady_timer Timer_;
   Incarnation Self_;
@@ -182,31 +182,31 @@
   /// The answer's deadline has passed once, and data that lies unread is
   /// processed before the reader counts as silent.
   bool Overdue_ = false;
-  BootTime AskedAt_;
+  BootTime RequestedAt_;
   /// Readers that have not answered the last request. While an answer is
   /// awaited, the link's heartbeats show whether the link went silent, and
   /// replace it.
   std::set<VmId> Unanswered_;
   /// A reader that failed, and until when that counts.
-  struct Passed {
+  struct FailedReader {
     Fault Kind_;
     TimePoint Until_;
   };
-  std::map<VmId, Passed> PassedOver_;
+  std::map<VmId, FailedReader> FailedReaders_;
   bool SawOldState_ = false;
   std::map<VmId, Follower> Followers_;
   StateEntries Entries_;
   DocumentTexts Texts_;
   DocumentTransfer Transfer_;
-  HeardVersions Heard_;
+  AnnouncedVersions Announced_;
   /// Transfer of the version that gossip has announced, and the daemon that
   /// sends it.
-  DocumentTransfer HeardTransfer_;
-  std::optional<VmId> HeardFrom_;
+  DocumentTransfer AnnouncedTransfer_;
+  std::optional<VmId> AnnouncedFrom_;
   /// The version last logged as too long to accept.
-  DocumentVersion TooLong_;
+  DocumentVersion LoggedTooLong_;
   /// The version last logged as overdue.
-  DocumentVersion OverdueText_;
+  DocumentVersion LoggedOverdue_;
 };
 
 } // namespace samphireshunt
--- a/Source/Process/Configuration/Platform.h
+++ b/Source/Process/Configuration/Platform.h
@@ -90,7 +90,7 @@
       Watch_;
   /// True while the answer to a list or a watch is arriving: its head was read,
   /// its end was not. Unset if this can't be determined.
-  std::function<bool()> AnswerComes_;
+  std::function<bool()> AnswerArriving_;
   std::function<Awaitable<Result<std::vector<ListedVm>>>()> Vms_;
 };
 
--- a/Source/Process/Configuration/StateEntries.cpp
+++ b/Source/Process/Configuration/StateEntries.cpp
@@ -69,13 +69,13 @@
                static_cast<std::uint32_t>(Bytes.size())});
   }
   State.packed = Cached->Bytes_;
-  State.packed_from = Cached->From_;
+  State.packed_from = Cached->UnpackedSize_;
 }
 
 Result<ChangeLog::Changes> changesOf(const wire::StateT &State) {
   ChangeLog::Changes Changes;
   Changes.Complete_ = State.complete;
-  Changes.Unsure_ = State.unsure;
+  Changes.Unverified_ = State.unsure;
   readEntries(State, Changes.Entries_);
   if (State.packed.empty())
     return Changes;
--- a/Source/Process/Configuration/StateEntries.h
+++ b/Source/Process/Configuration/StateEntries.h
@@ -25,7 +25,7 @@
 private:
   struct Packed {
     std::vector<std::uint8_t> Bytes_;
-    std::uint32_t From_ = 0;
+    std::uint32_t UnpackedSize_ = 0;
   };
 
   /// Compressed changes by the number that they follow; complete ones under the
--- a/Source/Process/Configuration/StoreFollower.cpp
+++ b/Source/Process/Configuration/StoreFollower.cpp
@@ -49,7 +49,7 @@
 
 void StoreFollower::pause() {
   Paused_ = true;
-  Unproven_.clear();
+  PendingPositions_.clear();
   // The followed daemon reads the service. If the outage ended only with this
   // daemon's own next list, minutes later, it would retain servers then that
   // were removed in between.
@@ -86,9 +86,9 @@
                                    : Options_.FirstPause_;
 }
 
-milliseconds StoreFollower::longestPause() const {
-  return Role_ == StoreRole::Spare ? Options_.SpareLongestPause_
-                                   : Options_.LongestPause_;
+milliseconds StoreFollower::maxPause() const {
+  return Role_ == StoreRole::Spare ? Options_.SpareMaxPause_
+                                   : Options_.MaxPause_;
 }
 
 Awaitable<void> StoreFollower::sleep(milliseconds Time) {
@@ -120,9 +120,9 @@
     if (RegisteredAddress_ != Address_)
       co_await registerSelf();
     if (!std::exchange(ListedBefore_, true))
-      co_await sleep(Options_.FirstGatherTime_);
+      co_await sleep(Options_.FirstBatchTime_);
     else if (std::exchange(SawChanges_, false))
-      co_await sleep(Options_.GatherTime_);
+      co_await sleep(Options_.BatchTime_);
   }
 }
 
@@ -152,11 +152,11 @@
     }
     bool Behind = After_ < *Confirmed;
     if (Behind)
-      co_await sleep(Options_.BehindTime_);
+      co_await sleep(Options_.MaxWatchLag_);
     bool Stalled = Behind && After_ < *Confirmed;
     if (!Paused_ && Stalled)
       noteLargeAnswer();
-    if (!Paused_ && (WasLost || Stalled) && !answerComes())
+    if (!Paused_ && (WasLost || Stalled) && !answerArriving())
       startWatch();
   }
 }
@@ -164,14 +164,14 @@
 /// A large answer may take longer on a slow link than a watch may lag behind.
 /// If the watch were abandoned meanwhile, the answer would start again each
 /// time: the link would stay full, and the change would never arrive.
-bool StoreFollower::answerComes() const {
-  return Platform_.AnswerComes_ && Platform_.AnswerComes_();
+bool StoreFollower::answerArriving() const {
+  return Platform_.AnswerArriving_ && Platform_.AnswerArriving_();
 }
 
 /// Only a configuration is large enough for its answer to take long.
 void StoreFollower::noteLargeAnswer() {
-  if (answerComes() && !Unproven_.empty())
-    Freshness_.newerKnown(Unproven_.begin()->second);
+  if (answerArriving() && !PendingPositions_.empty())
+    Freshness_.newerKnown(PendingPositions_.begin()->second);
 }
 
 /// Reads one small entry, since each answer states the service's revision: the
@@ -191,14 +191,14 @@
   if (auto Reached = noteReached(Listed->Position_); !Reached)
     co_return Reached.error();
   if (!Paused_)
-    Unproven_[Listed->Position_] = SentAt;
-  proveFresh();
+    PendingPositions_[Listed->Position_] = SentAt;
+  renewLease();
   co_return Listed->Position_;
 }
 
-void StoreFollower::heardAt(BootTime SentAt) {
+void StoreFollower::appliedAsOf(BootTime SentAt) {
   ReachedAt_ = std::max(ReachedAt_, SentAt);
-  View_.heardAt(SentAt);
+  View_.appliedAsOf(SentAt);
   if (View_.confirmsNewest(SentAt))
     Freshness_.renew(SentAt);
 }
@@ -207,7 +207,7 @@
   auto Reached = View_.reached(Position);
   // Positions applied in another era do not count as applied in this one.
   if (Reached && Position.Era_ != After_.Era_) {
-    Unproven_.clear();
+    PendingPositions_.clear();
     NeedsList_ = true;
   }
   return Reached;
@@ -215,13 +215,13 @@
 
 /// Renews the lease from the time at which a call was sent, but not before
 /// everything up to the revision in its answer is applied.
-void StoreFollower::proveFresh() {
-  auto Newer = Unproven_.upper_bound(After_);
-  std::for_each(Unproven_.begin(), Newer,
-                [this](const auto &Asked) { heardAt(Asked.second); });
-  Unproven_.erase(Unproven_.begin(), Newer);
-  if (Unproven_.empty())
-    Freshness_.newestInForce();
+void StoreFollower::renewLease() {
+  auto Newer = PendingPositions_.upper_bound(After_);
+  std::for_each(PendingPositions_.begin(), Newer,
+                [this](const auto &Asked) { appliedAsOf(Asked.second); });
+  PendingPositions_.erase(PendingPositions_.begin(), Newer);
+  if (PendingPositions_.empty())
+    Freshness_.newestActive();
 }
 
 void StoreFollower::succeeded() {
@@ -232,13 +232,13 @@
 }
 
 void StoreFollower::applyDirectory() {
-  planDrops();
+  scheduleDrops();
   View_.publish();
 }
 
-void StoreFollower::planDrops() {
+void StoreFollower::scheduleDrops() {
   if (View_.nextDrop() && !std::exchange(DropPlanned_, true)) {
-    auto Drop = [this]() { return dropUnseenLater(); };
+    auto Drop = [this]() { return dropMissingLater(); };
     spawnLogged(Control_, "drop-servers", std::move(Drop));
   }
 }
@@ -272,7 +272,7 @@
   View_.outageBegan();
   constexpr int MaxDoublings = 5;
   int Doublings = std::min(Failures_ - 2, MaxDoublings);
-  co_await sleep(std::min(firstPause() * (1 << Doublings), longestPause()));
+  co_await sleep(std::min(firstPause() * (1 << Doublings), maxPause()));
 }
 
 Awaitable<Result<void>> StoreFollower::listAll() {
@@ -290,7 +290,7 @@
   // outage. Treating it as one would send work for seconds more to servers that
   // were removed meanwhile.
   if (std::exchange(MaybeOutage_, false) &&
-      Freshness_.age(SentAt) >= Options_.LapseTime_)
+      Freshness_.age(SentAt) >= Options_.EarliestExpiry_)
     View_.outageBegan();
   // This daemon's entry is seen again below if it still exists.
   OwnPosition_ = {};
@@ -300,8 +300,8 @@
   View_.listed(*Listed);
   After_ = Listed->Position_;
   NeedsList_ = false;
-  heardAt(SentAt);
-  proveFresh();
+  appliedAsOf(SentAt);
+  renewLease();
   co_return Result<void>();
 }
 
@@ -330,8 +330,8 @@
   After_ = Changes->Position_;
   View_.advance(After_);
   SawChanges_ = !Changes->Entries_.empty();
-  heardAt(SentAt);
-  proveFresh();
+  appliedAsOf(SentAt);
+  renewLease();
   co_return Result<void>();
 }
 
@@ -366,17 +366,17 @@
     co_await sleep(Options_.FirstPause_);
 }
 
-Awaitable<void> StoreFollower::dropUnseenLater() {
+Awaitable<void> StoreFollower::dropMissingLater() {
   while (auto Next = View_.nextDrop()) {
     if (BootClock::now() >= *Next)
       break;
     co_await sleep(millisUntil(*Next));
   }
   DropPlanned_ = false;
-  View_.dropUnseen();
+  View_.dropMissing();
 }
 
-void StoreFollower::daemonSeen(const VmId &Daemon, const KeyValue &Entry) {
+void StoreFollower::onDaemonEntry(const VmId &Daemon, const KeyValue &Entry) {
   if (Daemon != Self_)
     return;
   OwnPosition_ = Entry.Position_;
--- a/Source/Process/Configuration/StoreFollower.h
+++ b/Source/Process/Configuration/StoreFollower.h
@@ -34,26 +34,26 @@
     std::chrono::milliseconds ReaderConfirmTime_{600};
     /// How long the watch may lag behind the revision that the service has
     /// stated.
-    std::chrono::milliseconds BehindTime_{300};
+    std::chrono::milliseconds MaxWatchLag_{300};
     /// No shorter outage lets the entry of a live server expire: an entry
     /// expires after three missed beats, and the last beat may have come up to
     /// one interval of 1.2 s before the outage.
-    std::chrono::milliseconds LapseTime_{2400};
+    std::chrono::milliseconds EarliestExpiry_{2400};
     /// Pause after a watch that returned changes, so that those that follow
     /// come in one answer; each answer counts as a call.
-    std::chrono::milliseconds GatherTime_{500};
+    std::chrono::milliseconds BatchTime_{500};
     /// The same after the first list of a process. In a fleet that starts, all
     /// daemons register during this pause, and at its end most of them follow
     /// another daemon.
-    std::chrono::milliseconds FirstGatherTime_{1000};
+    std::chrono::milliseconds FirstBatchTime_{1000};
     /// Pause after the second consecutive failure, doubled up to the longest.
     std::chrono::milliseconds FirstPause_{100};
-    std::chrono::milliseconds LongestPause_{400};
+    std::chrono::milliseconds MaxPause_{400};
     /// The same at a daemon that follows another one as soon as that one has
     /// regained the service. Each failed call counts too, and there are
     /// hundreds of such daemons.
     std::chrono::milliseconds SpareFirstPause_{1000};
-    std::chrono::milliseconds SpareLongestPause_{2000};
+    std::chrono::milliseconds SpareMaxPause_{2000};
     /// Daemons that follow others write their missing entries again at times
     /// spread over this interval.
     std::chrono::milliseconds RegisterSpread_{5000};
@@ -85,10 +85,10 @@
   /// entry of this one in the service.
   void entryMissing(bool Missing);
   /// Schedules the removal of servers that went missing in an outage.
-  void planDrops();
+  void scheduleDrops();
   /// Called when a daemon's entry was read. This daemon's own entry shows that
   /// it is registered.
-  void daemonSeen(const VmId &Daemon, const KeyValue &Entry);
+  void onDaemonEntry(const VmId &Daemon, const KeyValue &Entry);
   /// A single failure does not count, since one call may fail while the service
   /// is available, e.g. a watch that is cut.
   bool platformReachable() const { return Failures_ < 2; }
@@ -101,14 +101,14 @@
   Awaitable<Result<StorePosition>> confirm();
   /// Records that all changes that the service had when asked at \p SentAt are
   /// applied.
-  void heardAt(BootTime SentAt);
+  void appliedAsOf(BootTime SentAt);
   /// Renews the lease from the positions up to After_, which are applied.
-  void proveFresh();
+  void renewLease();
   void startWatch();
   /// Records since when a configuration that is still arriving has been known.
   void noteLargeAnswer();
   /// True if the watch still receives data: its answer is on its way.
-  bool answerComes() const;
+  bool answerArriving() const;
   Awaitable<Result<void>> listAll();
   Awaitable<Result<void>> watchOnce(std::uint64_t Generation);
   Awaitable<void> registerSelf();
@@ -120,13 +120,13 @@
   Awaitable<void> sleep(std::chrono::milliseconds Time);
   /// Sleeps until \p Time is over or the timer is cancelled.
   Awaitable<void> sleepUntilConfirm(std::chrono::milliseconds Time);
-  Awaitable<void> dropUnseenLater();
+  Awaitable<void> dropMissingLater();
   void succeeded();
   void applyDirectory();
   Awaitable<void> failed(const Failure &Cause);
   std::chrono::milliseconds confirmTime() const;
   std::chrono::milliseconds firstPause() const;
-  std::chrono::milliseconds longestPause() const;
+  std::chrono::milliseconds maxPause() const;
 
   boost::asio::io_context &Control_;
   PlatformHooks Platform_;
@@ -141,7 +141,7 @@
   StorePosition After_;
   /// Positions that the service stated and that are not applied yet, with the
   /// time at which the last call that returned them was sent.
-  std::map<StorePosition, BootTime> Unproven_;
+  std::map<StorePosition, BootTime> PendingPositions_;
   BootTime ReachedAt_;
   /// Identifies the current watch. Earlier ones were abandoned, and end when
   /// they return.
--- a/Source/Process/Configuration/StoreReaders.cpp
+++ b/Source/Process/Configuration/StoreReaders.cpp
@@ -23,7 +23,7 @@
 /// How many daemons a reader can serve, including itself.
 std::size_t capacityOf(const Member &Reader, std::size_t PerReader) {
   std::size_t Strength = Reader.LinkMbps_ / WeakLinkMbps;
-  return PerReader * std::clamp<std::size_t>(Strength, 1, MostOfStrongLink);
+  return PerReader * std::clamp<std::size_t>(Strength, 1, MaxStrongLinkFactor);
 }
 
 /// Sorts the best readers first: by strength of the link, then in an order that
--- a/Source/Process/Configuration/StoreReaders.h
+++ b/Source/Process/Configuration/StoreReaders.h
@@ -26,7 +26,7 @@
 inline constexpr std::size_t DaemonsPerReader = 12;
 /// A stronger link carries up to this many times as many followers; beyond that
 /// the processor that answers them is the bottleneck.
-inline constexpr std::size_t MostOfStrongLink = 4;
+inline constexpr std::size_t MaxStrongLinkFactor = 4;
 
 /// How a daemon reads the platform's service.
 enum class StoreRole {
--- a/Source/Process/Configuration/StoreView.cpp
+++ b/Source/Process/Configuration/StoreView.cpp
@@ -42,8 +42,8 @@
   EraLogged_ = false;
   Position_ = {First.Era_, Revision()};
   ConfigurationPosition_ = {};
-  ToldVersion_ = {};
-  Doubted_.clear();
+  ReadVersion_ = {};
+  Unconfirmed_.clear();
   Directory_.outageBegan();
   Directory_.outageEnded(Now);
 }
@@ -56,7 +56,7 @@
       Hooks_.Now_() - ConfigurationReadAt_);
   logEvent(LogCategory::Version, spdlog::level::info, "store-era-version",
            {{"era", std::to_string(Position_.Era_.count())},
-            {"told", std::to_string(ToldVersion_.count())},
+            {"told", std::to_string(ReadVersion_.count())},
             {"in_force", std::to_string(version().count())},
             {"age_ms", std::to_string(Age.count())}});
 }
@@ -64,9 +64,9 @@
 bool StoreView::confirmsNewest(BootTime Asked) const {
   if (!EraStart_)
     return true;
-  if (ToldVersion_ < version())
+  if (ReadVersion_ < version())
     return false;
-  return EraStart_->knownAsWritten(ConfigurationPosition_) ||
+  return EraStart_->surelyContains(ConfigurationPosition_) ||
          Asked - EraStart_->SeenAt_ >= Times_.RegisterAgain_;
 }
 
@@ -96,11 +96,11 @@
     return;
   }
   Daemons_.insert(Daemon);
-  Hooks_.DaemonSeen_(Daemon, Entry);
+  Hooks_.DaemonEntryRead_(Daemon, Entry);
 }
 
 void StoreView::listed(const KeyValueList &All) {
-  Doubted_.clear();
+  Unconfirmed_.clear();
   Daemons_.clear();
   std::set<ServerName> Servers;
   for (const KeyValue &Entry : All.Entries_) {
@@ -115,17 +115,17 @@
   advance(All.Position_);
 }
 
-void StoreView::dropUnseen() {
-  DirectoryChanged_ |= Directory_.dropUnseen(Hooks_.Now_());
+void StoreView::dropMissing() {
+  DirectoryChanged_ |= Directory_.dropMissing(Hooks_.Now_());
   publish();
 }
 
-void StoreView::heardAt(BootTime Asked) {
-  if (Doubted_.empty() || Asked < EraStart_->SeenAt_ + Times_.Lapse_)
+void StoreView::appliedAsOf(BootTime Asked) {
+  if (Unconfirmed_.empty() || Asked < EraStart_->SeenAt_ + Times_.EntryExpiry_)
     return;
-  for (const auto &[Name, Entry] : std::exchange(Doubted_, {}))
+  for (const auto &[Name, Entry] : std::exchange(Unconfirmed_, {}))
     if (auto Read = Layout_.ReadServer_(Name, Entry.Value_))
-      takeServer(Name, Entry, *Read);
+      applyServerEntry(Name, Entry, *Read);
   publish();
 }
 
@@ -146,8 +146,8 @@
         return Directory_.contains(ServerName(Name));
       });
   for (const KeyValue &Entry : Removed)
-    Departed_.left(Entry.Key_.substr(Layout_.ServerPrefix_.size()),
-                   {Entry.Position_, incarnationOf(Entry)});
+    Departed_.markDeparted(Entry.Key_.substr(Layout_.ServerPrefix_.size()),
+                           {Entry.Position_, incarnationOf(Entry)});
 }
 
 Incarnation StoreView::incarnationOf(const KeyValue &Entry) const {
@@ -184,20 +184,20 @@
     return Admission::Admitted;
   const StorePosition &Before = Known->Position_;
   bool FromBackup = Written.Era_ > Before.Era_ && EraStart_ &&
-                    !EraStart_->knownAsWritten(Written);
+                    !EraStart_->surelyContains(Written);
   bool Older =
       Written < Before || (FromBackup && Written.Revision_ < Before.Revision_);
   if (!Older || Server.Incarnation_ > incarnationOf(*Known))
     return Admission::Admitted;
-  return FromBackup ? Admission::Doubted : Admission::Refused;
+  return FromBackup ? Admission::Unconfirmed : Admission::Refused;
 }
 
-void StoreView::doubt(const std::string &Name, const KeyValue &Entry) {
+void StoreView::deferServer(const std::string &Name, const KeyValue &Entry) {
   ServerLines_.push_back(
       {"server-doubted",
        Name,
        {{"revision", std::to_string(Entry.Position_.Revision_.count())}}});
-  Doubted_[Name] = Entry;
+  Unconfirmed_[Name] = Entry;
 }
 
 bool StoreView::follow(const ChangeLog::Changes &Changes,
@@ -214,11 +214,11 @@
     EraStart_->First_ = std::min(EraStart_->First_, First);
   }
   std::set<ServerName> Servers;
-  std::set<std::string_view> Unsure(Changes.Unsure_.begin(),
-                                    Changes.Unsure_.end());
-  for (const std::string &Key : Changes.Unsure_) {
+  std::set<std::string_view> Unsure(Changes.Unverified_.begin(),
+                                    Changes.Unverified_.end());
+  for (const std::string &Key : Changes.Unverified_) {
     std::string Name = Key.substr(Layout_.ServerPrefix_.size());
-    Doubted_.erase(Name);
+    Unconfirmed_.erase(Name);
     Servers.emplace(std::move(Name));
   }
   for (const KeyValue &Entry : Changes.Entries_) {
@@ -226,17 +226,17 @@
     ServerName Name(IsServer ? Entry.Key_.substr(Layout_.ServerPrefix_.size())
                              : "");
     if (IsServer && Entry.Deleted_) {
-      Doubted_.erase(Name.str());
+      Unconfirmed_.erase(Name.str());
       DirectoryChanged_ |= Directory_.remove(Name);
     } else {
       bool IsUnsure = Unsure.contains(Entry.Key_);
-      applyFrom(IsUnsure ? Source::UnsureDaemon : Source::Daemon, Entry);
+      applyFrom(IsUnsure ? Source::UnverifiedDaemon : Source::Daemon, Entry);
     }
     if (IsServer)
       Servers.insert(std::move(Name));
   }
   if (Changes.Complete_)
-    keepTold(Servers);
+    retainListed(Servers);
   advance(Reached);
   publish();
   return true;
@@ -247,35 +247,36 @@
   ChangeLog::Changes Changes = Log_.since(Number, ExcludedKey);
   if (!Changes.Complete_)
     return Changes;
-  for (const auto &[Name, Entry] : Doubted_)
-    Changes.Unsure_.push_back(Entry.Key_);
+  for (const auto &[Name, Entry] : Unconfirmed_)
+    Changes.Unverified_.push_back(Entry.Key_);
   for (const ServerName &Name : Directory_.missingNames())
-    Changes.Unsure_.push_back(Layout_.ServerPrefix_ + Name.str());
+    Changes.Unverified_.push_back(Layout_.ServerPrefix_ + Name.str());
   return Changes;
 }
 
 /// A daemon that sends its complete state may lack changes that were lost with
 /// the restore: servers that registered since are retained as in an outage.
-void StoreView::keepTold(const std::set<ServerName> &Servers) {
+void StoreView::retainListed(const std::set<ServerName> &Servers) {
   BootTime Now = Hooks_.Now_();
-  std::erase_if(Doubted_, [&](const auto &Item) {
+  std::erase_if(Unconfirmed_, [&](const auto &Item) {
     return !Servers.contains(ServerName(Item.first));
   });
   bool EraIsNew = EraStart_ && Now < EraStart_->SeenAt_ + Times_.RegisterAgain_;
-  DirectoryChanged_ |=
-      EraIsNew ? Directory_.listed(Servers, Now) : Directory_.keepOnly(Servers);
+  DirectoryChanged_ |= EraIsNew ? Directory_.listed(Servers, Now)
+                                : Directory_.retainOnly(Servers);
 }
 
 void StoreView::applyServer(Source From, const std::string &Name,
                             const KeyValue &Entry) {
   if (Entry.Deleted_) {
     Rejected_.erase(Name);
-    Doubted_.erase(Name);
+    Unconfirmed_.erase(Name);
     ServerLines_.push_back(
         {"server-gone",
          Name,
          {{"revision", std::to_string(Entry.Position_.Revision_.count())}}});
-    DirectoryChanged_ |= Directory_.missing(ServerName(Name), Hooks_.Now_());
+    DirectoryChanged_ |=
+        Directory_.markMissing(ServerName(Name), Hooks_.Now_());
     return;
   }
   auto Read = Layout_.ReadServer_(Name, Entry.Value_);
@@ -283,24 +284,24 @@
     return rejectServer(Name, Entry, Read.error());
   Rejected_.erase(Name);
   auto Verdict = admits(From, Name, Read->Server_, Entry.Position_);
-  bool MayBeValid = EraStart_ && From != Source::UnsureDaemon;
-  if (Verdict == Admission::Doubted && MayBeValid)
-    return doubt(Name, Entry);
+  bool MayBeValid = EraStart_ && From != Source::UnverifiedDaemon;
+  if (Verdict == Admission::Unconfirmed && MayBeValid)
+    return deferServer(Name, Entry);
   if (Verdict != Admission::Admitted)
     return;
-  Doubted_.erase(Name);
-  takeServer(Name, Entry, *Read);
+  Unconfirmed_.erase(Name);
+  applyServerEntry(Name, Entry, *Read);
 }
 
-void StoreView::takeServer(const std::string &Name, const KeyValue &Entry,
-                           const RegisteredServer &Read) {
+void StoreView::applyServerEntry(const std::string &Name, const KeyValue &Entry,
+                                 const RegisteredServer &Read) {
   if (Read.Server_.Leaving_)
-    Departed_.left(Name, {Entry.Position_, Read.Server_.Incarnation_});
+    Departed_.markDeparted(Name, {Entry.Position_, Read.Server_.Incarnation_});
   else
-    Departed_.cameBack(Name);
-  bool Changed = Directory_.seen(Read);
+    Departed_.markReturned(Name);
+  bool Changed = Directory_.addOrUpdate(Read);
   // Entries that the backup of an era repeats are not sent to followers again.
-  bool FromBackup = EraStart_ && !EraStart_->knownAsWritten(Entry.Position_);
+  bool FromBackup = EraStart_ && !EraStart_->surelyContains(Entry.Position_);
   if (Changed || !FromBackup || !Log_.find(Entry.Key_))
     Log_.set(Entry);
   if (!Changed)
@@ -368,13 +369,13 @@
     return;
   }
   ConfigurationPosition_ = Entry.Position_;
-  ToldVersion_ = Read->Version_;
-  putInForce(*Read, Entry);
+  ReadVersion_ = Read->Version_;
+  activateConfiguration(*Read, Entry);
   logEra();
 }
 
-bool StoreView::putInForce(const ReadConfiguration &Read,
-                           const KeyValue &Entry) {
+bool StoreView::activateConfiguration(const ReadConfiguration &Read,
+                                      const KeyValue &Entry) {
   if (!Documents_.adopt(Layout_.Service_, Read.Version_, Read.Document_))
     return false;
   ConfigurationReadAt_ = Hooks_.Now_();
@@ -383,7 +384,7 @@
   return true;
 }
 
-bool StoreView::takeText(DocumentVersion Version, std::string Text) {
+bool StoreView::applyText(DocumentVersion Version, std::string Text) {
   auto Read = Layout_.ReadConfiguration_(Text);
   if (!Read || Read->Version_ != Version) {
     logEvent(
@@ -396,7 +397,7 @@
   KeyValue Entry;
   Entry.Key_ = Layout_.ConfigurationKey_;
   Entry.Value_ = std::move(Text);
-  putInForce(*Read, Entry);
+  activateConfiguration(*Read, Entry);
   return true;
 }
 
--- a/Source/Process/Configuration/StoreView.h
+++ b/Source/Process/Configuration/StoreView.h
@@ -46,7 +46,7 @@
 public:
   struct Hooks {
     /// Called when a daemon has registered itself, with its name and its entry.
-    std::function<void(const VmId &, const KeyValue &)> DaemonSeen_;
+    std::function<void(const VmId &, const KeyValue &)> DaemonEntryRead_;
     /// Called after a change that followers of this daemon should receive.
     std::function<void()> Changed_;
     std::function<BootTime()> Now_ = BootClock::now;
@@ -57,7 +57,7 @@
     BootClock::duration RegisterAgain_;
     /// The entry of a silent server is removed within this time: five of its
     /// beats.
-    BootClock::duration Lapse_ = std::chrono::seconds(6);
+    BootClock::duration EntryExpiry_ = std::chrono::seconds(6);
   };
 
   StoreView(DocumentStore &Documents, StoreLayout Layout, Times Limits);
@@ -75,12 +75,12 @@
   void outageBegan() { Directory_.outageBegan(); }
   void outageEnded() { Directory_.outageEnded(Hooks_.Now_()); }
   /// Drops servers that went missing in an outage and have not come back.
-  void dropUnseen();
+  void dropMissing();
   std::optional<BootTime> nextDrop() const { return Directory_.nextDrop(); }
   /// Called when everything that the service contained at \p Asked is applied,
   /// directly or by way of a daemon. From then on, entries from the backup of
   /// an era that have not expired by then are accepted.
-  void heardAt(BootTime Asked);
+  void appliedAsOf(BootTime Asked);
   /// True if an answer to a call sent at \p Asked proves that no newer
   /// configuration than the active one was ever accepted.
   bool confirmsNewest(BootTime Asked) const;
@@ -96,7 +96,7 @@
               Revision EraFirst = {});
   /// Applies the text of a configuration.
   /// \returns false if it is not \p Version.
-  bool takeText(DocumentVersion Version, std::string Text);
+  bool applyText(DocumentVersion Version, std::string Text);
 
   /// The newest position of the service up to which all changes are applied.
   const StorePosition &position() const { return Position_; }
@@ -125,7 +125,7 @@
 private:
   /// Where an entry comes from; a daemon may not know whether it is still
   /// valid.
-  enum class Source { Service, Daemon, UnsureDaemon };
+  enum class Source { Service, Daemon, UnverifiedDaemon };
 
   void beginEra(const StorePosition &First);
   void logEra();
@@ -138,15 +138,16 @@
   Admission comparedWithKnown(const std::string &Name,
                               const BackendServer &Server,
                               const StorePosition &Written) const;
-  void takeServer(const std::string &Name, const KeyValue &Entry,
-                  const RegisteredServer &Read);
-  void keepTold(const std::set<ServerName> &Servers);
-  void doubt(const std::string &Name, const KeyValue &Entry);
+  void applyServerEntry(const std::string &Name, const KeyValue &Entry,
+                        const RegisteredServer &Read);
+  void retainListed(const std::set<ServerName> &Servers);
+  void deferServer(const std::string &Name, const KeyValue &Entry);
   Incarnation incarnationOf(const KeyValue &Entry) const;
   void rejectServer(const std::string &Name, const KeyValue &Entry,
                     const Failure &Cause);
   void adopt(const KeyValue &Entry);
-  bool putInForce(const ReadConfiguration &Read, const KeyValue &Entry);
+  bool activateConfiguration(const ReadConfiguration &Read,
+                             const KeyValue &Entry);
   void noteServers();
   void logServers();
 
@@ -166,7 +167,7 @@
   bool EraLogged_ = true;
   /// Position of the configuration that was read last, active or not.
   StorePosition ConfigurationPosition_;
-  DocumentVersion ToldVersion_;
+  DocumentVersion ReadVersion_;
   BootTime ConfigurationReadAt_;
   bool DirectoryChanged_ = false;
   /// Server events that are not logged yet, with the fields to log.
@@ -178,7 +179,7 @@
   std::vector<ServerLine> ServerLines_;
   DepartedServers Departed_;
   /// Entries of servers that have left, read from the backup of an era.
-  std::map<std::string, KeyValue> Doubted_;
+  std::map<std::string, KeyValue> Unconfirmed_;
   /// Entries that can't be parsed, by name, with the cause that was logged.
   std::map<std::string, std::string> Rejected_;
 };
--- a/Source/Process/Configuration/TextPacking.cpp
+++ b/Source/Process/Configuration/TextPacking.cpp
@@ -65,6 +65,6 @@
   return Text;
 }
 
-std::size_t mostPacked(std::size_t Size) { return ZSTD_compressBound(Size); }
+std::size_t maxPackedSize(std::size_t Size) { return ZSTD_compressBound(Size); }
 
 } // namespace samphireshunt
--- a/Source/Process/Configuration/TextPacking.h
+++ b/Source/Process/Configuration/TextPacking.h
@@ -20,6 +20,6 @@
                                       std::string_view Prefix);
 
 /// The maximum compressed size of a text of \p Size bytes.
-std::size_t mostPacked(std::size_t Size);
+std::size_t maxPackedSize(std::size_t Size);
 
 } // namespace samphireshunt
--- a/Source/Process/Keeping/Cell.cpp
+++ b/Source/Process/Keeping/Cell.cpp
@@ -72,8 +72,8 @@
   return Servers;
 }
 
-CellId keptWith(const CellId &Cell) {
-  return {Cell.Service_, Cell.Pool_, Cell.Index_ % MostKeepers};
+CellId keeperCell(const CellId &Cell) {
+  return {Cell.Service_, Cell.Pool_, Cell.Index_ % MaxKeepers};
 }
 
 namespace {
--- a/Source/Process/Keeping/Cell.h
+++ b/Source/Process/Keeping/Cell.h
@@ -23,7 +23,7 @@
 /// The maximum number of keepers per service. They divide what a customer may
 /// use among them: with more keepers, no share would be as large as a single
 /// request.
-inline constexpr std::uint32_t MostKeepers = 8;
+inline constexpr std::uint32_t MaxKeepers = 8;
 
 struct CellId {
   ServiceName Service_;
@@ -56,9 +56,9 @@
 std::vector<const BackendServer *> cellServers(const Pool &Whole,
                                                std::uint32_t Index);
 
-/// Maps a cell to one of the first MostKeepers cells of its pool; keeperOf()
+/// Maps a cell to one of the first MaxKeepers cells of its pool; keeperOf()
 /// that cell is also the keeper of \p Cell.
-CellId keptWith(const CellId &Cell);
+CellId keeperCell(const CellId &Cell);
 
 /// Returns the member that schedules the cell: of the members with strong
 /// network links, the one with the highest hash of cell and member. A change of
--- a/Source/Process/Keeping/EngineMonitor.cpp
+++ b/Source/Process/Keeping/EngineMonitor.cpp
@@ -35,7 +35,7 @@
         continue;
       for (const BackendServer *Server : cellServers(*Whole, Cell.Index_)) {
         ServerKey Key(Cell, Server->Name_);
-        if (std::exchange(Watched_[Key].Busy_, true))
+        if (std::exchange(PolledEngines_[Key].Busy_, true))
           continue;
         auto Poll = [this, Key, Address = Server->Address_]() {
           return poll(Key, Address);
@@ -81,7 +81,7 @@
   Request.Target_ = "/v1/load";
   auto Response =
       co_await httpCall(Address, std::move(Request), Options_.Timeout_);
-  Watched &State = Watched_[Key];
+  PolledEngine &State = PolledEngines_[Key];
   State.Busy_ = false;
   // An engine that answers with an error, or with an invalid report, is
   // reachable but reports no load. Only an engine that can't be reached is
@@ -108,7 +108,7 @@
 Awaitable<void> EngineMonitor::readEvents(ServerKey Key, Endpoint Address) {
   HttpRequest Request;
   Request.Target_ =
-      fmt::format("/v1/cache-events?after={}", Watched_[Key].NextEvent_);
+      fmt::format("/v1/cache-events?after={}", PolledEngines_[Key].NextEvent_);
   auto Response =
       co_await httpCall(Address, std::move(Request), Options_.Timeout_);
   if (!Response || Response->Status_ != 200)
@@ -121,11 +121,11 @@
   for (const Json &Event : Body["events"])
     if (Event.value("kind", "") == "evicted")
       Evicted.push_back(Event.value("block", std::uint64_t(0)));
-  Watched_[Key].NextEvent_ = Body.value("next", std::uint64_t(0));
+  PolledEngines_[Key].NextEvent_ = Body.value("next", std::uint64_t(0));
   Keeper_.cacheEvicted(Key.first, Key.second, Evicted, Gap);
 }
 
-void EngineMonitor::cleanOrphan(const OrphanedRequest &Orphan) {
+void EngineMonitor::handleOrphan(const OrphanedRequest &Orphan) {
   const RunningRequest &Request = Orphan.Request_;
   auto Snapshot = Documents_.snapshot();
   const ServiceConfiguration *Service =
@@ -150,7 +150,7 @@
 /// cancel it while it has.
 Awaitable<void> EngineMonitor::cancelOrphan(Endpoint Address, RequestId Id) {
   asio::steady_timer Timer(Control_);
-  for (int Try = 0; Try < Options_.OrphanTries_ && !Stopped_; ++Try) {
+  for (int Try = 0; Try < Options_.MaxOrphanAttempts_ && !Stopped_; ++Try) {
     HttpRequest Request;
     Request.Method_ = "DELETE";
     Request.Target_ =
--- a/Source/Process/Keeping/EngineMonitor.h
+++ b/Source/Process/Keeping/EngineMonitor.h
@@ -20,7 +20,7 @@
     /// Consecutive unanswered polls after which an engine gets no new work.
     int FailuresToUnhealthy_ = 2;
     std::chrono::milliseconds OrphanRetry_{1000};
-    int OrphanTries_ = 60;
+    int MaxOrphanAttempts_ = 60;
   };
 
   EngineMonitor(boost::asio::io_context &Control, DocumentStore &Documents,
@@ -29,10 +29,10 @@
   void stop() { Stopped_ = true; }
   /// Cancels the request at its engine, unless it is non-idempotent or the
   /// engine reports that its ingress daemon is still connected.
-  void cleanOrphan(const OrphanedRequest &Orphan);
+  void handleOrphan(const OrphanedRequest &Orphan);
 
 private:
-  struct Watched {
+  struct PolledEngine {
     int Failures_ = 0;
     bool Busy_ = false;
     std::uint64_t NextEvent_ = 0;
@@ -48,7 +48,7 @@
   DocumentStore &Documents_;
   KeeperService &Keeper_;
   Options Options_;
-  std::map<ServerKey, Watched> Watched_;
+  std::map<ServerKey, PolledEngine> PolledEngines_;
   bool Stopped_ = false;
 };
 
--- a/Source/Process/Keeping/GrantClient.cpp
+++ b/Source/Process/Keeping/GrantClient.cpp
@@ -40,16 +40,16 @@
     : Control_(Control), Self_(std::move(Self)), Hooks_(std::move(Callbacks)),
       RebindTimer_(Control), CheckTimer_(Control) {}
 
-void GrantClient::acquire(CellId Cell, AskedRequest Request,
+void GrantClient::acquire(CellId Cell, GrantRequest Request,
                           Answered OnAnswer) {
   asio::post(Control_, [this, Cell = std::move(Cell),
                         Request = std::move(Request),
                         OnAnswer = std::move(OnAnswer)]() mutable {
     RequestId Id = Request.Id_;
-    Request.Entry_ = Self_;
-    auto [Item, New] = Asks_.insert_or_assign(
+    Request.Ingress_ = Self_;
+    auto [Item, New] = PendingRequests_.insert_or_assign(
         Id, Ask{std::move(Cell), std::move(Request), std::move(OnAnswer), {}});
-    sendAsk(Item->second);
+    sendGrantRequest(Item->second);
     scheduleCheck();
   });
 }
@@ -64,7 +64,7 @@
   return Hooks_.KeeperOf_(Cell, Avoided);
 }
 
-void GrantClient::sendAsk(Ask &Target) {
+void GrantClient::sendGrantRequest(Ask &Target) {
   // If no other keeper is reachable, this daemon schedules the cell itself,
   // with the share of the engines' limits that its partition of the fleet may
   // use.
@@ -76,27 +76,27 @@
     return Hooks_.Send_(Target.Keeper_,
                         encodeAsk(Target.Cell_, Target.Request_));
   CellId Cell = Target.Cell_;
-  AskedRequest Request = Target.Request_;
-  Local_->ask(Cell, std::move(Request));
+  GrantRequest Request = Target.Request_;
+  LocalKeeper_->requestGrant(Cell, std::move(Request));
 }
 
-void GrantClient::sendRunning(Granted &Target) {
+void GrantClient::sendRunning(GrantedRequest &Target) {
   Target.Keeper_ = chooseKeeper(Target.Cell_).value_or(Self_);
   if (Target.Keeper_ == Self_)
-    return Local_->running(Target.Cell_, Target.Request_);
+    return LocalKeeper_->running(Target.Cell_, Target.Request_);
   Hooks_.Send_(Target.Keeper_, encodeRunning(Target.Cell_, Target.Request_));
 }
 
 void GrantClient::sendWithdraw(const CellId &Cell, const RequestId &Id,
                                const VmId &To) {
   if (To == Self_)
-    return Local_->withdraw(Cell, Id);
+    return LocalKeeper_->withdraw(Cell, Id);
   Hooks_.Send_(To, encodeWithdraw(Cell, Id));
 }
 
 void GrantClient::withdraw(RequestId Id) {
   asio::post(Control_, [this, Id] {
-    auto Node = Asks_.extract(Id);
+    auto Node = PendingRequests_.extract(Id);
     if (Node) {
       sendWithdraw(Node.mapped().Cell_, Id, Node.mapped().Keeper_);
       return;
@@ -108,8 +108,8 @@
 
 void GrantClient::dispatched(RequestId Id, Cancelled OnCancel) {
   asio::post(Control_, [this, Id, OnCancel = std::move(OnCancel)]() mutable {
-    auto Found = Granted_.find(Id);
-    if (Found == Granted_.end())
+    auto Found = GrantedRequests_.find(Id);
+    if (Found == GrantedRequests_.end())
       return;
     Found->second.Dispatched_ = true;
     Found->second.OnCancel_ = std::move(OnCancel);
@@ -118,12 +118,12 @@
 
 void GrantClient::firstToken(RequestId Id, microseconds Delay) {
   asio::post(Control_, [this, Id, Delay] {
-    auto Found = Granted_.find(Id);
-    if (Found == Granted_.end())
+    auto Found = GrantedRequests_.find(Id);
+    if (Found == GrantedRequests_.end())
       return;
-    const Granted &Target = Found->second;
+    const GrantedRequest &Target = Found->second;
     if (Target.Keeper_ == Self_)
-      return Local_->firstToken(Target.Cell_, Id, {Delay});
+      return LocalKeeper_->firstToken(Target.Cell_, Id, {Delay});
     Hooks_.Send_(Target.Keeper_, encodeFirstToken(Target.Cell_, Id, Delay));
   });
 }
@@ -133,12 +133,12 @@
 }
 
 void GrantClient::finish(const RequestId &Id, const ServedSample &Sample) {
-  auto Node = Granted_.extract(Id);
+  auto Node = GrantedRequests_.extract(Id);
   if (!Node)
     return;
-  const Granted &Ended = Node.mapped();
+  const GrantedRequest &Ended = Node.mapped();
   if (Ended.Keeper_ == Self_)
-    return Local_->done(Ended.Cell_, Id, Sample);
+    return LocalKeeper_->done(Ended.Cell_, Id, Sample);
   Hooks_.Send_(Ended.Keeper_, encodeDone(Ended.Cell_, Id, Sample));
 }
 
@@ -156,32 +156,32 @@
 /// from a previous keeper, or twice. Any other grant is returned to its keeper;
 /// otherwise its engine slot would stay occupied until this daemon ends.
 void GrantClient::onGrant(const GrantDecision &Grant, const VmId &From) {
-  auto Found = Asks_.find(Grant.Id_);
-  if (Found == Asks_.end() || Found->second.Keeper_ != From) {
-    auto Running = Granted_.find(Grant.Id_);
+  auto Found = PendingRequests_.find(Grant.Id_);
+  if (Found == PendingRequests_.end() || Found->second.Keeper_ != From) {
+    auto Running = GrantedRequests_.find(Grant.Id_);
     bool Duplicate =
-        Running != Granted_.end() && Running->second.Keeper_ == From;
+        Running != GrantedRequests_.end() && Running->second.Keeper_ == From;
     if (!Duplicate)
-      handBack(Grant.Id_, From);
+      returnGrant(Grant.Id_, From);
     return;
   }
   Ask Accepted = std::move(Found->second);
-  Asks_.erase(Found);
-  const AskedRequest &Request = Accepted.Request_;
-  Granted Target;
+  PendingRequests_.erase(Found);
+  const GrantRequest &Request = Accepted.Request_;
+  GrantedRequest Target;
   Target.Cell_ = Accepted.Cell_;
   Target.Keeper_ = From;
   Target.Request_ = {
       Request.Id_,     Request.Tier_,   Request.Customer_,      Grant.Server_,
       Request.Prompt_, Request.Answer_, Request.NonIdempotent_, Self_};
-  Granted_[Request.Id_] = std::move(Target);
+  GrantedRequests_[Request.Id_] = std::move(Target);
   Accepted.OnAnswer_({ResultCode::Ok, Grant.Server_, {}});
 }
 
-void GrantClient::handBack(const RequestId &Id, const VmId &Keeper) {
+void GrantClient::returnGrant(const RequestId &Id, const VmId &Keeper) {
   // The cell is no longer known here; the keeper searches all its cells.
   if (Keeper == Self_)
-    return Local_->handBack(Id);
+    return LocalKeeper_->returnGrant(Id);
   Hooks_.Send_(Keeper, encodeDone(CellId(), Id, ServedSample()));
 }
 
@@ -190,19 +190,19 @@
   // before it has a configuration, because the platform's service turned it
   // away. It knows no engine, but others do.
   if (Refusal.Code_ == ResultCode::NotReady && From != Self_)
-    return passOver(From, UnreachableBackoff);
+    return failOver(From, UnreachableBackoff);
   // A refusal from a previous keeper is ignored: the current one may have
   // capacity for the request.
-  auto Found = Asks_.find(Refusal.Id_);
-  if (Found == Asks_.end() || Found->second.Keeper_ != From)
+  auto Found = PendingRequests_.find(Refusal.Id_);
+  if (Found == PendingRequests_.end() || Found->second.Keeper_ != From)
     return;
-  auto Node = Asks_.extract(Found);
+  auto Node = PendingRequests_.extract(Found);
   Node.mapped().OnAnswer_({Refusal.Code_, {}, Refusal.RetryAfter_});
 }
 
 void GrantClient::onCancel(const CancelDecision &Cancel) {
-  auto Found = Granted_.find(Cancel.Id_);
-  if (Found != Granted_.end() && Found->second.OnCancel_)
+  auto Found = GrantedRequests_.find(Cancel.Id_);
+  if (Found != GrantedRequests_.end() && Found->second.OnCancel_)
     Found->second.OnCancel_();
 }
 
@@ -210,17 +210,17 @@
   Hooks_.Check_(Keeper);
   logEvent(LogCategory::Keeper, spdlog::level::warn, "keeper-unreachable",
            {{"keeper", Keeper.str()}});
-  passOver(Keeper, UnreachableBackoff);
+  failOver(Keeper, UnreachableBackoff);
 }
 
-void GrantClient::passOver(const VmId &Keeper, milliseconds Duration) {
+void GrantClient::failOver(const VmId &Keeper, milliseconds Duration) {
   Unreachable_[Keeper] = steady_clock::now() + Duration;
   rebind();
   scheduleRebind(Duration + milliseconds(1));
 }
 
 void GrantClient::scheduleCheck() {
-  if (CheckScheduled_ || Asks_.empty())
+  if (CheckScheduled_ || PendingRequests_.empty())
     return;
   CheckScheduled_ = true;
   CheckTimer_.expires_after(CheckPeriod);
@@ -230,9 +230,9 @@
       return;
     auto Now = steady_clock::now();
     if (Now - CheckTimer_.expiry() > MaxCheckDelay)
-      Late_.clear();
+      OverdueKeepers_.clear();
     else
-      checkLateAnswers(Now);
+      checkOverdueAnswers(Now);
     scheduleCheck();
   });
 }
@@ -242,30 +242,30 @@
 /// have left, so that all requests of its cells fail until it recovers. Another
 /// daemon can schedule the cell meanwhile. This takes two consecutive checks:
 /// after a pause of this process, answers may be received but not yet read.
-void GrantClient::checkLateAnswers(TimePoint Now) {
+void GrantClient::checkOverdueAnswers(TimePoint Now) {
   std::set<VmId> Overdue;
-  for (const auto &[Id, Target] : Asks_)
+  for (const auto &[Id, Target] : PendingRequests_)
     if (Target.Keeper_ != Self_ && Target.AnswerDue_ <= Now)
       Overdue.insert(Target.Keeper_);
-  std::set<VmId> Previous = std::exchange(Late_, Overdue);
+  std::set<VmId> Previous = std::exchange(OverdueKeepers_, Overdue);
   for (const VmId &Keeper : Overdue) {
     if (!Previous.contains(Keeper))
       continue;
-    Late_.erase(Keeper);
+    OverdueKeepers_.erase(Keeper);
     logEvent(LogCategory::Keeper, spdlog::level::warn, "keeper-late",
              {{"keeper", Keeper.str()}});
     withdrawAll(Keeper);
-    passOver(Keeper, SlowBackoff);
+    failOver(Keeper, SlowBackoff);
   }
 }
 
 /// Withdraws all requests from a keeper that is abandoned although its link is
 /// open. Otherwise what it granted would occupy its slots forever.
 void GrantClient::withdrawAll(const VmId &Keeper) {
-  for (const auto &[Id, Target] : Asks_)
+  for (const auto &[Id, Target] : PendingRequests_)
     if (Target.Keeper_ == Keeper)
       sendWithdraw(Target.Cell_, Id, Keeper);
-  for (const auto &[Id, Target] : Granted_)
+  for (const auto &[Id, Target] : GrantedRequests_)
     if (Target.Keeper_ == Keeper)
       sendWithdraw(Target.Cell_, Id, Keeper);
 }
@@ -291,15 +291,15 @@
   };
   // Running requests are moved first: the next keeper must not grant their
   // slots to others.
-  for (auto &[Id, Target] : Granted_)
+  for (auto &[Id, Target] : GrantedRequests_)
     if (MustMove(Target)) {
       WithdrawFromKeeper(Id, Target);
       sendRunning(Target);
     }
-  for (auto &[Id, Target] : Asks_)
+  for (auto &[Id, Target] : PendingRequests_)
     if (MustMove(Target)) {
       WithdrawFromKeeper(Id, Target);
-      sendAsk(Target);
+      sendGrantRequest(Target);
     }
 }
 
@@ -307,8 +307,8 @@
   auto IsAssigned = [&](const auto &Item) {
     return Item.second.Keeper_ == Keeper;
   };
-  return std::ranges::any_of(Asks_, IsAssigned) ||
-         std::ranges::any_of(Granted_, IsAssigned);
+  return std::ranges::any_of(PendingRequests_, IsAssigned) ||
+         std::ranges::any_of(GrantedRequests_, IsAssigned);
 }
 
 } // namespace samphireshunt
--- a/Source/Process/Keeping/GrantClient.h
+++ b/Source/Process/Keeping/GrantClient.h
@@ -46,12 +46,12 @@
   /// Sets the keeper in this process, which delivers its decisions in
   /// event-loop iterations of their own. Called once, before the first grant
   /// request.
-  void setLocalKeeper(class KeeperService *Keeper) { Local_ = Keeper; }
+  void setLocalKeeper(class KeeperService *Keeper) { LocalKeeper_ = Keeper; }
 
   // From any thread.
   /// Requests a grant. Calls \p OnAnswer once, on the control thread, unless
   /// the request is withdrawn before.
-  void acquire(CellId Cell, AskedRequest Request, Answered OnAnswer);
+  void acquire(CellId Cell, GrantRequest Request, Answered OnAnswer);
   void withdraw(RequestId Id);
   /// Records that the granted request was dispatched. \p OnCancel is called on
   /// the control thread when the keeper preempts it for a higher tier.
@@ -65,24 +65,24 @@
   void onLinkDown(const VmId &Keeper);
   /// Fails over from keepers whose answers are overdue in two consecutive
   /// checks.
-  void checkLateAnswers(TimePoint Now);
+  void checkOverdueAnswers(TimePoint Now);
   /// Moves all requests whose keeper has changed to the new one. Called when
   /// members change.
   void rebind();
   bool awaiting(const VmId &Keeper) const;
-  std::size_t waiting() const { return Asks_.size(); }
-  std::size_t running() const { return Granted_.size(); }
+  std::size_t waiting() const { return PendingRequests_.size(); }
+  std::size_t running() const { return GrantedRequests_.size(); }
 
 private:
   struct Ask {
     CellId Cell_;
-    AskedRequest Request_;
+    GrantRequest Request_;
     Answered OnAnswer_;
     VmId Keeper_;
     /// The time by which its keeper should have granted or refused it.
     TimePoint AnswerDue_ = TimePoint::max();
   };
-  struct Granted {
+  struct GrantedRequest {
     CellId Cell_;
     RunningRequest Request_;
     Cancelled OnCancel_;
@@ -91,15 +91,15 @@
   };
 
   std::optional<VmId> chooseKeeper(const CellId &Cell);
-  void sendAsk(Ask &Target);
-  void sendRunning(Granted &Target);
+  void sendGrantRequest(Ask &Target);
+  void sendRunning(GrantedRequest &Target);
   void sendWithdraw(const CellId &Cell, const RequestId &Id, const VmId &To);
   void onGrant(const GrantDecision &Grant, const VmId &From);
   void onRefusal(const RefuseDecision &Refusal, const VmId &From);
-  void passOver(const VmId &Keeper, std::chrono::milliseconds Duration);
+  void failOver(const VmId &Keeper, std::chrono::milliseconds Duration);
   void withdrawAll(const VmId &Keeper);
   void onCancel(const CancelDecision &Cancel);
-  void handBack(const RequestId &Id, const VmId &Keeper);
+  void returnGrant(const RequestId &Id, const VmId &Keeper);
   void finish(const RequestId &Id, const ServedSample &Sample);
   void scheduleRebind(std::chrono::milliseconds Delay);
   void scheduleCheck();
@@ -107,13 +107,13 @@
   boost::asio::io_context &Control_;
   VmId Self_;
   Hooks Hooks_;
-  KeeperService *Local_ = nullptr;
-  std::unordered_map<RequestId, Ask> Asks_;
-  std::unordered_map<RequestId, Granted> Granted_;
+  KeeperService *LocalKeeper_ = nullptr;
+  std::unordered_map<RequestId, Ask> PendingRequests_;
+  std::unordered_map<RequestId, GrantedRequest> GrantedRequests_;
   /// Keepers that failed, with the time until which each is avoided.
   std::map<VmId, TimePoint> Unreachable_;
   /// Keepers whose answers were overdue at the last check.
-  std::set<VmId> Late_;
+  std::set<VmId> OverdueKeepers_;
   boost::asio::steady_timer RebindTimer_;
   boost::asio::steady_timer CheckTimer_;
   bool CheckScheduled_ = false;
--- a/Source/Process/Keeping/KeeperChoice.cpp
+++ b/Source/Process/Keeping/KeeperChoice.cpp
@@ -13,7 +13,7 @@
 std::optional<VmId>
 KeeperChoice::keeperOf(const CellId &Cell,
                        const std::vector<VmId> &Unreachable) {
-  std::pair Key(keptWith(Cell), Unreachable);
+  std::pair Key(keeperCell(Cell), Unreachable);
   auto Found = Known_.find(Key);
   if (Found != Known_.end())
     return Found->second;
--- a/Source/Process/Keeping/KeeperMessages.cpp
+++ b/Source/Process/Keeping/KeeperMessages.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-std::string encodeAsk(const CellId &Cell, const AskedRequest &Request) {
+std::string encodeAsk(const CellId &Cell, const GrantRequest &Request) {
   wire::AskT Ask;
   Ask.id = toWire(Request.Id_);
   Ask.cell = Cell.toWire();
@@ -39,9 +39,10 @@
   Ask.non_idempotent = Request.NonIdempotent_;
   if (Request.Objective_ != TimePoint())
     Ask.objective_ms = remainingMillis(Request.Objective_);
-  Ask.guessed_tokens = static_cast<std::uint32_t>(Request.Guessed_.count());
+  Ask.guessed_tokens =
+      static_cast<std::uint32_t>(Request.EstimatedAnswer_.count());
   Ask.max_pause_ms = static_cast<std::uint32_t>(Request.MaxPause_.count());
-  Ask.asked_before = Request.AskedBefore_;
+  Ask.asked_before = Request.IsRetry_;
   Ask.max_wait_ms = static_cast<std::uint32_t>(Request.MaxWait_.count());
   for (const ServerName &Name : Request.Excluded_)
     Ask.excluded.push_back(Name.str());
@@ -70,7 +71,7 @@
   Done.complete = Sample.Complete_;
   Done.faulty = Sample.Faulty_;
   Done.replaced = Sample.Replaced_;
-  Done.at_once = static_cast<std::uint32_t>(Sample.AtOnce_.count());
+  Done.at_once = static_cast<std::uint32_t>(Sample.FirstEventTokens_.count());
   Done.generated = static_cast<std::uint32_t>(Sample.Generated_.count());
   Done.first_token_us = static_cast<std::uint32_t>(Sample.FirstToken_.count());
   Done.duration_us = static_cast<std::uint32_t>(Sample.Duration_.count());
@@ -93,8 +94,8 @@
   return encodeMessage(std::move(Message));
 }
 
-AskedRequest askFromWire(const wire::AskT &Ask, const VmId &From) {
-  AskedRequest Request;
+GrantRequest askFromWire(const wire::AskT &Ask, const VmId &From) {
+  GrantRequest Request;
   Request.Id_ = fromWire(Ask.id);
   Request.Tier_ = TierIndex(Ask.tier);
   Request.Customer_ = CustomerName(Ask.customer);
@@ -108,13 +109,13 @@
   Request.NonIdempotent_ = Ask.non_idempotent;
   if (Ask.objective_ms > 0)
     Request.Objective_ = steady_clock::now() + milliseconds(Ask.objective_ms);
-  Request.Guessed_ = Tokens(Ask.guessed_tokens);
+  Request.EstimatedAnswer_ = Tokens(Ask.guessed_tokens);
   Request.MaxWait_ = milliseconds(Ask.max_wait_ms);
   Request.MaxPause_ = milliseconds(Ask.max_pause_ms);
-  Request.AskedBefore_ = Ask.asked_before;
+  Request.IsRetry_ = Ask.asked_before;
   for (const std::string &Name : Ask.excluded)
     Request.Excluded_.emplace_back(Name);
-  Request.Entry_ = From;
+  Request.Ingress_ = From;
   return Request;
 }
 
@@ -133,7 +134,7 @@
   Sample.Faulty_ = Done.faulty;
   Sample.Replaced_ = Done.replaced;
   Sample.Generated_ = Tokens(Done.generated);
-  Sample.AtOnce_ = Tokens(Done.at_once);
+  Sample.FirstEventTokens_ = Tokens(Done.at_once);
   Sample.FirstToken_ = std::chrono::microseconds(Done.first_token_us);
   Sample.Duration_ = std::chrono::microseconds(Done.duration_us);
   return Sample;
--- a/Source/Process/Keeping/KeeperMessages.h
+++ b/Source/Process/Keeping/KeeperMessages.h
@@ -12,14 +12,14 @@
 namespace samphireshunt {
 
 // From an ingress daemon to a keeper.
-std::string encodeAsk(const CellId &Cell, const AskedRequest &Request);
+std::string encodeAsk(const CellId &Cell, const GrantRequest &Request);
 std::string encodeWithdraw(const CellId &Cell, const RequestId &Id);
 std::string encodeRunning(const CellId &Cell, const RunningRequest &Request);
 std::string encodeFirstToken(const CellId &Cell, const RequestId &Id,
                              std::chrono::microseconds Delay);
 std::string encodeDone(const CellId &Cell, const RequestId &Id,
                        const ServedSample &Sample);
-AskedRequest askFromWire(const wire::AskT &Ask, const VmId &From);
+GrantRequest askFromWire(const wire::AskT &Ask, const VmId &From);
 RunningRequest runningFromWire(const wire::RunningT &Running, const VmId &From);
 ServedSample sampleFromWire(const wire::DoneT &Done);
 
--- a/Source/Process/Keeping/KeeperService.cpp
+++ b/Source/Process/Keeping/KeeperService.cpp
@@ -25,12 +25,12 @@
 constexpr milliseconds MinAllotmentRetryAfter{300};
 
 /// Returns the cost of the request that is charged to its customer's allotment.
-double allotmentCost(const Allotment &Allowed, const AskedRequest &Request) {
+double allotmentCost(const Allotment &Allowed, const GrantRequest &Request) {
   if (!Allowed.CountsTokens_)
     return 1;
   Tokens Charged = Request.Prompt_ + Request.Answer_;
   if (Charged.count() == 0)
-    Charged = Allowed.TokensOfOther_;
+    Charged = Allowed.DefaultTokens_;
   return static_cast<double>(Charged.count());
 }
 } // namespace
@@ -40,8 +40,9 @@
                              Hooks Callbacks)
     : Documents_(Documents), Options_(Settings), Hooks_(std::move(Callbacks)),
       Allotments_(Settings.Allotments_, steady_clock::now()),
-      RefusalLines_(MaxRefusalLogsPerSecond),
-      Notices_(Control, [this](const Notice &Event) { tell(Event); }),
+      RefusalSampler_(MaxRefusalLogsPerSecond),
+      Notifications_(Control,
+                     [this](const Notification &Event) { deliver(Event); }),
       Timer_(Control) {
   schedule();
 }
@@ -70,23 +71,24 @@
   for (auto &[Id, Target] : Cells_)
     if (Target->Scheduler_.waiting() > 0)
       decide(Id, *Target);
-  checkGoneEntries();
+  checkDisconnectedIngresses();
 }
 
-void KeeperService::checkGoneEntries() {
+void KeeperService::checkDisconnectedIngresses() {
   auto Now = steady_clock::now();
   bool AnyReleased = false;
-  for (auto &[Ingress, Gone] : GoneEntries_) {
-    if (!Gone.HoldsPlaces_ || Now - Gone.Since_ < Options_.PlaceGrace_)
+  for (auto &[Ingress, Disconnected] : DisconnectedIngresses_) {
+    if (!Disconnected.HoldsSlots_ ||
+        Now - Disconnected.Since_ < Options_.SlotGrace_)
       continue;
-    takePlaces(Ingress, Gone);
+    releaseSlots(Ingress, Disconnected);
     AnyReleased = true;
   }
   // The ingress daemon is alive but uses another keeper now, which knows what
   // it runs.
-  std::erase_if(GoneEntries_, [&](const auto &Item) {
-    return !Item.second.HoldsPlaces_ &&
-           Now - Item.second.Since_ >= Options_.EntryGrace_;
+  std::erase_if(DisconnectedIngresses_, [&](const auto &Item) {
+    return !Item.second.HoldsSlots_ &&
+           Now - Item.second.Since_ >= Options_.IngressGrace_;
   });
   if (!AnyReleased)
     return;
@@ -98,22 +100,23 @@
 /// the ends of its requests to another keeper. If the requests stayed here,
 /// they would occupy their slots until they are forgotten, and others would
 /// wait past their deadlines although engines are idle.
-void KeeperService::takePlaces(const VmId &Ingress, GoneEntry &Gone) {
-  Gone.HoldsPlaces_ = false;
+void KeeperService::releaseSlots(const VmId &Ingress,
+                                 DisconnectedIngress &Disconnected) {
+  Disconnected.HoldsSlots_ = false;
   for (auto &[Cell, Target] : Cells_)
-    for (RunningRequest &Request : drop(*Target, Ingress))
-      Gone.Ran_.push_back({Cell, std::move(Request)});
+    for (RunningRequest &Request : removeIngress(*Target, Ingress))
+      Disconnected.ReleasedRequests_.push_back({Cell, std::move(Request)});
 }
 
-KeeperService::KeptCell &KeeperService::kept(const CellId &Cell) {
+KeeperService::ScheduledCell &KeeperService::scheduledCell(const CellId &Cell) {
   auto &Target = Cells_[Cell];
   auto Now = steady_clock::now();
   if (!Target) {
-    Target = std::make_unique<KeptCell>(
-        KeptCell{Scheduler(Options_.Scheduling_), Now, Now});
+    Target = std::make_unique<ScheduledCell>(
+        ScheduledCell{Scheduler(Options_.Scheduling_), Now, Now});
     configure(Cell, *Target);
     if (!Hooks_.AloneInFleet_()) {
-      Target->Scheduler_.setWarmUntil(Now + Options_.WarmUp_);
+      Target->Scheduler_.setWarmupEnd(Now + Options_.WarmUp_);
       Allotments_.restart(Now);
     }
     logEvent(LogCategory::Keeper, spdlog::level::info, "keeping",
@@ -123,7 +126,7 @@
   return *Target;
 }
 
-void KeeperService::configure(const CellId &Cell, KeptCell &Target) {
+void KeeperService::configure(const CellId &Cell, ScheduledCell &Target) {
   auto Snapshot = Documents_.snapshot();
   const ServiceConfiguration *Service = Snapshot->service(Cell.Service_);
   const Pool *Whole = Service ? Service->pool(Cell.Pool_) : nullptr;
@@ -136,7 +139,7 @@
         {Server->Name_, Server->MaxInFlight_ + Options_.AheadPerServer_, Active,
          Whole->CacheTokens_, Options_.AheadPerServer_, Server->Incarnation_});
   }
-  std::map<CustomerName, CustomerShare> Shares;
+  std::map<CustomerName, CustomerPolicy> Shares;
   for (const Customer &Known : Service->Document_->Customers_)
     Shares[Known.Name_] = {Known.Weight_, Known.MaxInFlight_};
   auto TierCount =
@@ -155,12 +158,12 @@
 
 void KeeperService::refresh() {
   auto Snapshot = Documents_.snapshot();
-  KeptParts_.clear();
+  ScheduledFractions_.clear();
   for (const auto &[Name, Service] : Snapshot->Services_)
     refreshService(Name, Service);
   auto Now = steady_clock::now();
   std::erase_if(Cells_, [&](const auto &Item) {
-    const KeptCell &Target = *Item.second;
+    const ScheduledCell &Target = *Item.second;
     return Target.Scheduler_.waiting() == 0 &&
            Now - Target.LastUsed_ > UnusedCellTime &&
            !Hooks_.IsKeeper_(Item.first);
@@ -171,29 +174,30 @@
   }
 }
 
-void KeeperService::ask(const CellId &Cell, AskedRequest Request) {
-  if (!knows(Cell))
-    return announce(Cell, {RefuseDecision{Request.Id_, ResultCode::NotReady,
-                                          milliseconds(0), Request.Entry_}});
-  KeptCell &Target = kept(Cell);
+void KeeperService::requestGrant(const CellId &Cell, GrantRequest Request) {
+  if (!knowsPool(Cell))
+    return postDecisions(Cell,
+                         {RefuseDecision{Request.Id_, ResultCode::NotReady,
+                                         milliseconds(0), Request.Ingress_}});
+  ScheduledCell &Target = scheduledCell(Cell);
   if (auto Refusal = chargeAllotment(Cell, Request))
-    return announce(Cell, {*Refusal});
+    return postDecisions(Cell, {*Refusal});
   auto Remote = RemoteFloors_.find({Cell.Service_, Cell.Pool_});
   auto Now = steady_clock::now();
   if (Remote != RemoteFloors_.end() && Remote->second.Until_ > Now)
-    announce(Cell, Target.Scheduler_.raiseFloor(Remote->second.Tier_,
-                                                Remote->second.Until_, Now));
-  announce(Cell, Target.Scheduler_.ask(std::move(Request), Now));
+    postDecisions(Cell, Target.Scheduler_.raiseFloor(
+                            Remote->second.Tier_, Remote->second.Until_, Now));
+  postDecisions(Cell, Target.Scheduler_.requestGrant(std::move(Request), Now));
   decide(Cell, Target);
 }
 
-bool KeeperService::knows(const CellId &Cell) const {
+bool KeeperService::knowsPool(const CellId &Cell) const {
   auto Snapshot = Documents_.snapshot();
   const ServiceConfiguration *Service = Snapshot->service(Cell.Service_);
   return Service && Service->pool(Cell.Pool_);
 }
 
-double KeeperService::mostCells(const ServiceConfiguration &Service) {
+double KeeperService::maxCellCount(const ServiceConfiguration &Service) {
   std::uint32_t Max = 1;
   for (const Pool &Known : Service.Pools_)
     Max = std::max(Max, cellCount(Known));
@@ -207,16 +211,16 @@
   if (Service.Pools_.empty())
     return;
   const PoolName &AnyPool = Service.Pools_.front().Name_;
-  auto Count = static_cast<std::uint32_t>(mostCells(Service));
+  auto Count = static_cast<std::uint32_t>(maxCellCount(Service));
   std::vector<std::uint32_t> Scheduled;
   for (std::uint32_t Index = 0; Index < Count; ++Index)
     if (Hooks_.IsKeeper_({Name, AnyPool, Index}))
       Scheduled.push_back(Index);
-  KeptParts_[Name] = static_cast<double>(Scheduled.size()) / Count;
+  ScheduledFractions_[Name] = static_cast<double>(Scheduled.size()) / Count;
   for (const Pool &Whole : Service.Pools_)
     for (std::uint32_t Index : Scheduled)
       if (Index < cellCount(Whole))
-        kept({Name, Whole.Name_, Index});
+        scheduledCell({Name, Whole.Name_, Index});
 }
 
 /// Returns the fraction of an allotment that this daemon may grant. The keepers
@@ -228,16 +232,16 @@
 double
 KeeperService::allotmentShare(const ServiceConfiguration &Service) const {
   constexpr double StandInFraction = 0.5;
-  auto Found = KeptParts_.find(Service.Document_->Service_);
-  double Fraction = Found == KeptParts_.end() ? 0 : Found->second;
+  auto Found = ScheduledFractions_.find(Service.Document_->Service_);
+  double Fraction = Found == ScheduledFractions_.end() ? 0 : Found->second;
   if (Fraction == 0)
-    Fraction = StandInFraction / mostCells(Service);
+    Fraction = StandInFraction / maxCellCount(Service);
   return Hooks_.LiveShare_() * Fraction;
 }
 
 std::optional<RefuseDecision>
 KeeperService::chargeAllotment(const CellId &Cell,
-                               const AskedRequest &Request) {
+                               const GrantRequest &Request) {
   auto Snapshot = Documents_.snapshot();
   const ServiceConfiguration *Service = Snapshot->service(Cell.Service_);
   const Customer *Known =
@@ -249,35 +253,36 @@
   Charge.Id_ = Request.Id_;
   Charge.Customer_ = Known->Name_;
   Charge.Cost_ = allotmentCost(Allowed, Request);
-  Charge.LeavesRoom_ = Options_.KeepRoom_ && Request.Tier_.count() > 0;
+  Charge.LeavesRoomForHighTier_ =
+      Options_.ReserveHeadroom_ && Request.Tier_.count() > 0;
   double Share = allotmentShare(*Service);
-  if (Allotments_.take(Charge, Allowed, Share, steady_clock::now()))
+  if (Allotments_.charge(Charge, Allowed, Share, steady_clock::now()))
     return std::nullopt;
   auto RetryAfter = std::max(MinAllotmentRetryAfter,
-                             Allotments_.fitsIn(Charge, Allowed, Share));
+                             Allotments_.timeUntilFit(Charge, Allowed, Share));
   return RefuseDecision{Request.Id_, ResultCode::AllotmentSpent, RetryAfter,
-                        Request.Entry_};
+                        Request.Ingress_};
 }
 
 void KeeperService::withdraw(const CellId &Cell, const RequestId &Id) {
-  Allotments_.giveBack(Id);
-  KeptCell &Target = kept(Cell);
+  Allotments_.refund(Id);
+  ScheduledCell &Target = scheduledCell(Cell);
   Target.Scheduler_.withdraw(Id);
   decide(Cell, Target);
 }
 
 void KeeperService::running(const CellId &Cell, RunningRequest Request) {
-  kept(Cell).Scheduler_.addRunning(Request);
+  scheduledCell(Cell).Scheduler_.addRunning(Request);
 }
 
 void KeeperService::firstToken(const CellId &Cell, const RequestId &Id,
                                const FirstTokenSample &Sample) {
-  kept(Cell).Scheduler_.firstToken(Id, Sample);
+  scheduledCell(Cell).Scheduler_.firstToken(Id, Sample);
 }
 
 void KeeperService::done(const CellId &Cell, const RequestId &Id,
                          const ServedSample &Sample) {
-  KeptCell &Target = kept(Cell);
+  ScheduledCell &Target = scheduledCell(Cell);
   auto Ended = Target.Scheduler_.findRunning(Id);
   ServerModel *Server =
       Ended ? Target.Scheduler_.server(Ended->Server_) : nullptr;
@@ -291,7 +296,7 @@
   decide(Cell, Target);
 }
 
-void KeeperService::handBack(const RequestId &Id) {
+void KeeperService::returnGrant(const RequestId &Id) {
   for (auto &[Cell, Target] : Cells_) {
     Target->Scheduler_.done(Id, ServedSample(), steady_clock::now());
     decide(Cell, *Target);
@@ -303,7 +308,7 @@
 /// or with long queues, a round per message would use all processor time, and
 /// messages would wait for seconds; batching answers several messages in one
 /// round.
-void KeeperService::decide(const CellId &Cell, KeptCell &Target) {
+void KeeperService::decide(const CellId &Cell, ScheduledCell &Target) {
   auto Now = steady_clock::now();
   if (Now < Target.NextRound_)
     return schedule();
@@ -313,24 +318,24 @@
   // was not busy.
   Target.NextRound_ =
       Ended + std::min<TimePoint::duration>(
-                  Options_.RoundPause_ * (Ended - Now), MaxRoundPause);
+                  Options_.RoundPauseFactor_ * (Ended - Now), MaxRoundPause);
 }
 
-void KeeperService::decideNow(const CellId &Cell, KeptCell &Target) {
+void KeeperService::decideNow(const CellId &Cell, ScheduledCell &Target) {
   auto Now = steady_clock::now();
   bool HadFloor = Target.Scheduler_.floor(Now).has_value();
-  announce(Cell, Target.Scheduler_.decide(Now));
+  postDecisions(Cell, Target.Scheduler_.decide(Now));
   schedule();
   if (!HadFloor && Target.Scheduler_.floor(Now))
-    Notices_.push(RaisedFloor());
+    Notifications_.push(RaisedFloor());
 }
 
 /// Logs a refusal with the state of the cell. The reason is known only here;
 /// the ingress daemon gets only the code.
 void KeeperService::logRefusal(const CellId &Cell,
                                const RefuseDecision &Refusal) {
-  auto Dropped =
-      RefusalLines_.admit(static_cast<int>(Refusal.Code_), steady_clock::now());
+  auto Dropped = RefusalSampler_.admit(static_cast<int>(Refusal.Code_),
+                                       steady_clock::now());
   auto Found = Cells_.find(Cell);
   if (!Dropped || Found == Cells_.end())
     return;
@@ -342,7 +347,7 @@
            {{"request", Refusal.Id_.str()},
             {"code", std::to_string(static_cast<int>(Refusal.Code_))},
             {"cell", Cell.str()},
-            {"entry", Refusal.Entry_.str()},
+            {"entry", Refusal.Ingress_.str()},
             {"waiting", std::to_string(Deciding.waiting())},
             {"running", std::to_string(Deciding.running())},
             {"usable_servers", std::to_string(Usable)},
@@ -362,57 +367,57 @@
             {"failure_rate", fmt::format("{:.2f}", Health.failureRate())}});
 }
 
-void KeeperService::announce(const CellId &Cell,
-                             std::vector<Decision> Decisions) {
+void KeeperService::postDecisions(const CellId &Cell,
+                                  std::vector<Decision> Decisions) {
   for (Decision &Made : Decisions) {
     if (const auto *Refusal = std::get_if<RefuseDecision>(&Made)) {
-      Allotments_.giveBack(Refusal->Id_);
+      Allotments_.refund(Refusal->Id_);
       logRefusal(Cell, *Refusal);
     }
-    Notices_.push(CellDecision{Cell, std::move(Made)});
+    Notifications_.push(CellDecision{Cell, std::move(Made)});
   }
 }
 
-void KeeperService::tell(const Notice &Event) {
+void KeeperService::deliver(const Notification &Event) {
   if (const auto *Made = std::get_if<CellDecision>(&Event))
-    tellDecision(*Made);
+    deliverDecision(*Made);
   else if (const auto *Orphan = std::get_if<OrphanedRequest>(&Event))
     Hooks_.Orphaned_(*Orphan);
   else
     Hooks_.FloorRaised_();
 }
 
-void KeeperService::tellDecision(const CellDecision &Event) {
-  if (const auto *Grant = std::get_if<GrantDecision>(&Event.Taken_)) {
-    if (!stillStands(Event.Cell_, *Grant))
-      return Allotments_.giveBack(Grant->Id_);
-    Allotments_.used(Grant->Id_);
+void KeeperService::deliverDecision(const CellDecision &Event) {
+  if (const auto *Grant = std::get_if<GrantDecision>(&Event.Decision_)) {
+    if (!isStillValid(Event.Cell_, *Grant))
+      return Allotments_.refund(Grant->Id_);
+    Allotments_.commit(Grant->Id_);
   }
-  Hooks_.Decided_(Event.Cell_, Event.Taken_);
+  Hooks_.Decided_(Event.Cell_, Event.Decision_);
 }
 
 /// Returns whether the grant is still valid when it is to be delivered. It may
 /// have been revoked since the decision, because its request was withdrawn or
 /// its ingress daemon reconnected. If it were delivered anyway, the request
 /// would run in a slot that may have been granted to another request.
-bool KeeperService::stillStands(const CellId &Cell,
-                                const GrantDecision &Grant) const {
+bool KeeperService::isStillValid(const CellId &Cell,
+                                 const GrantDecision &Grant) const {
   const Scheduler *Deciding = scheduler(Cell);
   if (!Deciding)
     return true; // The cell was dropped, which revokes no grants.
   auto Running = Deciding->findRunning(Grant.Id_);
   return Running && Running->Server_ == Grant.Server_ &&
-         Running->Entry_ == Grant.Entry_;
+         Running->Ingress_ == Grant.Ingress_;
 }
 
 /// Removes the waiting requests of an ingress daemon whose link broke: a grant
 /// could not be delivered, and its slot would stay occupied. The ingress daemon
 /// requests the grant from the next keeper.
-void KeeperService::entryGone(const VmId &Ingress) {
-  GoneEntries_[Ingress] = {steady_clock::now(), true, {}};
+void KeeperService::ingressDisconnected(const VmId &Ingress) {
+  DisconnectedIngresses_[Ingress] = {steady_clock::now(), true, {}};
   for (auto &[Cell, Target] : Cells_)
     for (const RequestId &Id : Target->Scheduler_.removeWaiting(Ingress))
-      Allotments_.giveBack(Id);
+      Allotments_.refund(Id);
 }
 
 /// Removes all requests of an ingress daemon that reconnected. While its
@@ -420,29 +425,29 @@
 /// keeper. If the requests stayed here, they would occupy their slots forever,
 /// and new requests would be refused although engines are idle. The ingress
 /// daemon reports on its new link what waits and runs now.
-void KeeperService::entryBack(const VmId &Ingress) {
-  GoneEntries_.erase(Ingress);
+void KeeperService::ingressReconnected(const VmId &Ingress) {
+  DisconnectedIngresses_.erase(Ingress);
   for (auto &[Cell, Target] : Cells_) {
-    drop(*Target, Ingress);
+    removeIngress(*Target, Ingress);
     decide(Cell, *Target);
   }
 }
 
-std::vector<RunningRequest> KeeperService::drop(KeptCell &Target,
-                                                const VmId &Ingress) {
-  EntryRemains Left = Target.Scheduler_.removeEntry(Ingress);
+std::vector<RunningRequest> KeeperService::removeIngress(ScheduledCell &Target,
+                                                         const VmId &Ingress) {
+  RemovedRequests Left = Target.Scheduler_.removeIngressRequests(Ingress);
   for (const RequestId &Id : Left.Waiting_)
-    Allotments_.giveBack(Id);
+    Allotments_.refund(Id);
   return std::move(Left.Running_);
 }
 
-void KeeperService::entryDead(const VmId &Ingress) {
-  if (auto Gone = GoneEntries_.extract(Ingress))
-    for (OrphanedRequest &Orphan : Gone.mapped().Ran_)
-      Notices_.push(std::move(Orphan));
+void KeeperService::ingressDied(const VmId &Ingress) {
+  if (auto Disconnected = DisconnectedIngresses_.extract(Ingress))
+    for (OrphanedRequest &Orphan : Disconnected.mapped().ReleasedRequests_)
+      Notifications_.push(std::move(Orphan));
   for (auto &[Cell, Target] : Cells_) {
-    for (RunningRequest &Request : drop(*Target, Ingress))
-      Notices_.push(OrphanedRequest{Cell, std::move(Request)});
+    for (RunningRequest &Request : removeIngress(*Target, Ingress))
+      Notifications_.push(OrphanedRequest{Cell, std::move(Request)});
     decide(Cell, *Target);
   }
 }
@@ -457,13 +462,13 @@
   return All;
 }
 
-void KeeperService::floorSeen(const PoolFloor &Floor) {
+void KeeperService::onRemoteFloor(const PoolFloor &Floor) {
   auto Now = steady_clock::now();
   RemoteFloors_[{Floor.Service_, Floor.Pool_}] = Floor;
   for (auto &[Cell, Target] : Cells_)
     if (Cell.Service_ == Floor.Service_ && Cell.Pool_ == Floor.Pool_)
-      announce(Cell,
-               Target->Scheduler_.raiseFloor(Floor.Tier_, Floor.Until_, Now));
+      postDecisions(
+          Cell, Target->Scheduler_.raiseFloor(Floor.Tier_, Floor.Until_, Now));
 }
 
 void KeeperService::engineReport(const CellId &Cell, const ServerName &Server,
