--- a/Source/Process/Keeping/KeeperService.h
+++ b/Source/Process/Keeping/KeeperService.h
@@ -41,16 +41,16 @@
     /// After a scheduling round, messages are batched for this many times as
     /// long as the round took, so that rounds take a fifth of the time at most.
     /// With 0, each message triggers its own round.
-    int RoundPause_ = 4;
+    int RoundPauseFactor_ = 4;
     /// How long the running requests of an ingress daemon whose link broke keep
     /// their slots. An ingress daemon that still has requests here avoids the
     /// keeper for two seconds, then reconnects and reports what runs; one that
     /// does not has reported the ends of its requests to another keeper.
-    std::chrono::milliseconds PlaceGrace_{3000};
+    std::chrono::milliseconds SlotGrace_{3000};
     /// How long those requests are remembered, from when the link broke. This
     /// must be longer than it takes to detect the ingress daemon's death;
     /// otherwise its orphans would never be cancelled.
-    std::chrono::milliseconds EntryGrace_{10000};
+    std::chrono::milliseconds IngressGrace_{10000};
     /// Requests granted beyond an engine's limit, which queue in the engine, so
     /// that a freed slot does not stay empty until this keeper learns of it.
     std::uint32_t AheadPerServer_ = 0;
@@ -58,7 +58,7 @@
     AllotmentLedger::Options Allotments_;
     /// Whether lower tiers leave headroom in allotments for large requests of
     /// the highest tier.
-    bool KeepRoom_ = true;
+    bool ReserveHeadroom_ = true;
   };
   /// The first three hooks are called in event-loop iterations of their own, in
   /// the order of the events they report, never on the stack of a call to this
@@ -79,7 +79,7 @@
   KeeperService(boost::asio::io_context &Control, DocumentStore &Documents,
                 Options Settings, Hooks Callbacks);
 
-  void ask(const CellId &Cell, AskedRequest Request);
+  void requestGrant(const CellId &Cell, GrantRequest Request);
   void withdraw(const CellId &Cell, const RequestId &Id);
   void running(const CellId &Cell, RunningRequest Request);
   void firstToken(const CellId &Cell, const RequestId &Id,
@@ -88,21 +88,21 @@
             const ServedSample &Sample);
   /// Releases a grant that was not used and whose cell the ingress daemon no
   /// longer knows.
-  void handBack(const RequestId &Id);
+  void returnGrant(const RequestId &Id);
   /// Called when the link of an ingress daemon broke. It will request its
   /// grants again, here or at another keeper.
-  void entryGone(const VmId &Ingress);
+  void ingressDisconnected(const VmId &Ingress);
   /// Called when the ingress daemon opened a new link, on which it reports all
   /// its requests here.
-  void entryBack(const VmId &Ingress);
+  void ingressReconnected(const VmId &Ingress);
   /// Called when the ingress daemon died. Its running requests become orphans.
-  void entryDead(const VmId &Ingress);
+  void ingressDied(const VmId &Ingress);
   /// Starts and drops cells. Called when documents or members changed.
   void refresh();
   void stop() { Timer_.cancel(); }
 
   std::vector<PoolFloor> floors() const;
-  void floorSeen(const PoolFloor &Floor);
+  void onRemoteFloor(const PoolFloor &Floor);
   void engineReport(const CellId &Cell, const ServerName &Server, bool Healthy,
                     const LoadReport &Load);
   /// Applies the eviction of blocks by an engine or, with \p All, of its whole
@@ -115,12 +115,12 @@
 private:
   struct CellDecision {
     CellId Cell_;
-    Decision Taken_;
+    Decision Decision_;
   };
   struct RaisedFloor {};
   /// An event to be delivered to a hook.
-  using Notice = std::variant<CellDecision, OrphanedRequest, RaisedFloor>;
-  struct KeptCell {
+  using Notification = std::variant<CellDecision, OrphanedRequest, RaisedFloor>;
+  struct ScheduledCell {
     Scheduler Scheduler_;
     TimePoint Since_;
     TimePoint LastUsed_;
@@ -129,53 +129,54 @@
   };
 
   /// An ingress daemon whose link broke.
-  struct GoneEntry {
+  struct DisconnectedIngress {
     TimePoint Since_;
-    bool HoldsPlaces_ = true;
+    bool HoldsSlots_ = true;
     /// Its running requests when their slots were released.
-    std::vector<OrphanedRequest> Ran_;
+    std::vector<OrphanedRequest> ReleasedRequests_;
   };
 
-  KeptCell &kept(const CellId &Cell);
+  ScheduledCell &scheduledCell(const CellId &Cell);
   /// Returns false while this daemon has no configuration with the cell's pool.
-  bool knows(const CellId &Cell) const;
+  bool knowsPool(const CellId &Cell) const;
   /// Removes the ingress daemon's requests.
   /// \returns those that were running.
-  std::vector<RunningRequest> drop(KeptCell &Target, const VmId &Ingress);
-  void checkGoneEntries();
-  void takePlaces(const VmId &Ingress, GoneEntry &Gone);
+  std::vector<RunningRequest> removeIngress(ScheduledCell &Target,
+                                            const VmId &Ingress);
+  void checkDisconnectedIngresses();
+  void releaseSlots(const VmId &Ingress, DisconnectedIngress &Disconnected);
   void logRefusal(const CellId &Cell, const RefuseDecision &Refusal);
   void logHealth(const CellId &Cell, const ServerName &Server,
                  const ServerHealth &Health, bool WasLeftOut);
   /// Returns the largest number of cells of any pool of the service.
-  static double mostCells(const ServiceConfiguration &Service);
+  static double maxCellCount(const ServiceConfiguration &Service);
   /// Starts the service's cells that this daemon schedules, and records their
   /// fraction of all its cells.
   void refreshService(const ServiceName &Name,
                       const ServiceConfiguration &Service);
   double allotmentShare(const ServiceConfiguration &Service) const;
   std::optional<RefuseDecision> chargeAllotment(const CellId &Cell,
-                                                const AskedRequest &Request);
-  void configure(const CellId &Cell, KeptCell &Target);
-  void decide(const CellId &Cell, KeptCell &Target);
-  void decideNow(const CellId &Cell, KeptCell &Target);
-  void announce(const CellId &Cell, std::vector<Decision> Decisions);
-  void tell(const Notice &Event);
-  void tellDecision(const CellDecision &Event);
-  bool stillStands(const CellId &Cell, const GrantDecision &Grant) const;
+                                                const GrantRequest &Request);
+  void configure(const CellId &Cell, ScheduledCell &Target);
+  void decide(const CellId &Cell, ScheduledCell &Target);
+  void decideNow(const CellId &Cell, ScheduledCell &Target);
+  void postDecisions(const CellId &Cell, std::vector<Decision> Decisions);
+  void deliver(const Notification &Event);
+  void deliverDecision(const CellDecision &Event);
+  bool isStillValid(const CellId &Cell, const GrantDecision &Grant) const;
   void schedule();
   void onTick();
 
   DocumentStore &Documents_;
   Options Options_;
   Hooks Hooks_;
-  std::map<CellId, std::unique_ptr<KeptCell>> Cells_;
-  std::map<VmId, GoneEntry> GoneEntries_;
+  std::map<CellId, std::unique_ptr<ScheduledCell>> Cells_;
+  std::map<VmId, DisconnectedIngress> DisconnectedIngresses_;
   AllotmentLedger Allotments_;
-  std::map<ServiceName, double> KeptParts_;
-  LogSampler RefusalLines_;
+  std::map<ServiceName, double> ScheduledFractions_;
+  LogSampler RefusalSampler_;
   std::map<std::pair<ServiceName, PoolName>, PoolFloor> RemoteFloors_;
-  PostedQueue<Notice> Notices_;
+  PostedQueue<Notification> Notifications_;
   boost::asio::steady_timer Timer_;
   bool TickScheduled_ = false;
   bool TickIsShort_ = false;
--- a/Source/Process/Membership/LocalHealth.h
+++ b/Source/Process/Membership/LocalHealth.h
@@ -19,15 +19,16 @@
 class LocalHealth {
 public:
   /// Records an answer in time.
-  void good() { Score_ -= Score_ > 0 ? 1 : 0; }
+  void recordSuccess() { Score_ -= Score_ > 0 ? 1 : 0; }
   /// Records a missing answer, a late timer of this process, or that other
   /// members suspect this daemon.
-  void bad() { Score_ = std::min(Score_ + 1, MaxScore); }
+  void recordFailure() { Score_ = std::min(Score_ + 1, MaxScore); }
 
   /// Returns the score; 0 is healthy.
   std::uint32_t score() const { return Score_; }
   /// Returns \p Time, prolonged by the score, as the time to wait for others.
-  std::chrono::milliseconds scaled(std::chrono::milliseconds Time) const {
+  std::chrono::milliseconds
+  scaledTimeout(std::chrono::milliseconds Time) const {
     return Time * (1 + Score_);
   }
 
--- a/Source/Process/Membership/MemberTable.cpp
+++ b/Source/Process/Membership/MemberTable.cpp
@@ -173,7 +173,7 @@
 /// were probed per period, the last would return after minutes, and until then
 /// its cells would have two keepers.
 std::vector<Member> MemberTable::deadToProbe(TimePoint Now) {
-  if (!LastReturn_ || Now - *LastReturn_ > Options_.NewsTime_)
+  if (!LastReturn_ || Now - *LastReturn_ > Options_.RecentChangeTime_)
     return {};
   return sample(MaxDeadProbes, [](const Member &Candidate) {
     return Candidate.Status_ == MemberStatus::Dead;
@@ -232,7 +232,7 @@
   // the fleet, come last. Queued among hundreds of these, a death would not be
   // sent for minutes.
   auto Order = [&](const Entry *Known) {
-    return std::pair(!isNews(*Known, Now), Known->Sent_);
+    return std::pair(!isRecentChange(*Known, Now), Known->Sent_);
   };
   std::size_t Used = std::min(Count, Pending.size());
   std::ranges::partial_sort(
@@ -250,11 +250,11 @@
   return Updates;
 }
 
-std::size_t MemberTable::newsCount(TimePoint Now) const {
+std::size_t MemberTable::recentChangeCount(TimePoint Now) const {
   return static_cast<std::size_t>(
       std::ranges::count_if(Members_, [&](const auto &Item) {
         const Entry &Known = Item.second;
-        return Known.Sent_ < maxTransmissions() && isNews(Known, Now);
+        return Known.Sent_ < maxTransmissions() && isRecentChange(Known, Now);
       }));
 }
 
@@ -262,8 +262,8 @@
 /// announces itself to all members that it finds in the platform's service. If
 /// new members counted, those of a fleet's start would be sent before a death
 /// for minutes.
-bool MemberTable::isNews(const Entry &Known, TimePoint Now) const {
-  return Known.Changed_ && Now - Known.Since_ <= Options_.NewsTime_;
+bool MemberTable::isRecentChange(const Entry &Known, TimePoint Now) const {
+  return Known.Changed_ && Now - Known.Since_ <= Options_.RecentChangeTime_;
 }
 
 std::optional<Member> MemberTable::find(const VmId &Id) const {
--- a/Source/Process/Membership/MemberTable.h
+++ b/Source/Process/Membership/MemberTable.h
@@ -52,7 +52,7 @@
     /// if the platform does not report it.
     std::chrono::milliseconds DeadRetention_{60000};
     /// How long a change is recent: recent changes are sent before older ones.
-    std::chrono::milliseconds NewsTime_{10000};
+    std::chrono::milliseconds RecentChangeTime_{10000};
     std::uint64_t Seed_ = 1;
   };
   using ChangedHook = std::function<void(const Member &)>;
@@ -95,7 +95,7 @@
   std::vector<Member> piggyback(std::size_t Count, TimePoint Now);
   /// Returns the number of members with a recent change that was not sent often
   /// enough.
-  std::size_t newsCount(TimePoint Now) const;
+  std::size_t recentChangeCount(TimePoint Now) const;
 
   std::optional<Member> find(const VmId &Id) const;
   std::optional<MemberStatus> statusOf(const VmId &Id) const;
@@ -119,7 +119,7 @@
     /// Whether it was known before with another state.
     bool Changed_ = false;
   };
-  bool isNews(const Entry &Known, TimePoint Now) const;
+  bool isRecentChange(const Entry &Known, TimePoint Now) const;
   void refute(const Member &Update);
   std::vector<Member>
   sample(std::size_t Count, const std::function<bool(const Member &)> &Matches);
--- a/Source/Process/Membership/MembershipProtocol.cpp
+++ b/Source/Process/Membership/MembershipProtocol.cpp
@@ -63,10 +63,10 @@
 /// timers are then due before the acks that arrived meanwhile are read. Without
 /// this, it would declare all probed members dead, their keepers would change,
 /// and their requests would move.
-void MembershipProtocol::wokeLate(steady_clock::duration Late) {
+void MembershipProtocol::onLateTimer(steady_clock::duration Late) {
   if (Late < SuspendThreshold)
     return;
-  Health_.bad();
+  Health_.recordFailure();
   // One more interval is added, in which the acks are read.
   for (auto &[Sequence, Probe] : Pending_)
     Probe.Started_ += Late + CheckInterval;
@@ -96,7 +96,7 @@
                                             TimePoint Now) {
   wire::ProbeT Probe;
   Probe.sequence = NextSequence_++;
-  fill(Probe, Now);
+  addGossip(Probe, Now);
   // After a partition, each side considers the other dead. Only the member
   // itself can override that, and it must receive the claim to do so.
   if (Target && Target->Status_ >= MemberStatus::Suspect)
@@ -110,13 +110,13 @@
 /// daemons, must not make a live daemon suspect, so others are asked to probe
 /// it first.
 void MembershipProtocol::checkPending(TimePoint Now) {
-  milliseconds Timeout = Health_.scaled(Options_.AckTimeout_);
+  milliseconds Timeout = Health_.scaledTimeout(Options_.AckTimeout_);
   for (auto Item = Pending_.begin(); Item != Pending_.end();) {
     auto &[Sequence, Probe] = *Item;
     auto Age = Now - Probe.Started_;
     if (Age > Timeout && !Probe.Indirect_) {
       Probe.Indirect_ = true;
-      askHelpers(Sequence, Probe.Target_, Now);
+      requestIndirectProbes(Sequence, Probe.Target_, Now);
       // However late the check is, the indirect probes get their full time.
       Probe.Started_ = Now - Timeout;
       ++Item;
@@ -132,14 +132,15 @@
     bool AlreadyDead = Members_.statusOf(Probe.Target_) == MemberStatus::Dead;
     if (!ForOther && !AlreadyDead) {
       Members_.suspect(Probe.Target_, Now);
-      Health_.bad();
+      Health_.recordFailure();
     }
     Item = Pending_.erase(Item);
   }
 }
 
-void MembershipProtocol::askHelpers(std::uint32_t Sequence, const VmId &Target,
-                                    TimePoint Now) {
+void MembershipProtocol::requestIndirectProbes(std::uint32_t Sequence,
+                                               const VmId &Target,
+                                               TimePoint Now) {
   for (const Member &Helper :
        Members_.randomMembers(Options_.IndirectProbes_, Target)) {
     auto Address = parseEndpoint(Helper.Address_);
@@ -148,7 +149,7 @@
     wire::ProbeT Request;
     Request.sequence = Sequence;
     Request.target = Target.str();
-    fill(Request, Now);
+    addGossip(Request, Now);
     send(std::move(Request), *Address);
   }
 }
@@ -166,13 +167,13 @@
 }
 
 template <class Message>
-void MembershipProtocol::learn(const Message &Received, TimePoint Now) {
+void MembershipProtocol::applyGossip(const Message &Received, TimePoint Now) {
   if (!Received.sender)
     return;
   Member Sender = memberFromWire(*Received.sender);
   bool FromSelf = Sender.Id_ == Members_.self().Id_;
   Members_.merge(Sender, Now);
-  HeardFromPeer_ = HeardFromPeer_ || !FromSelf;
+  ReceivedFromPeer_ = ReceivedFromPeer_ || !FromSelf;
   for (const auto &Update : Received.members)
     Members_.merge(memberFromWire(*Update), Now);
   for (const auto &Version : Received.versions)
@@ -184,11 +185,11 @@
 }
 
 template <class Message>
-void MembershipProtocol::fill(Message &Target, TimePoint Now) {
+void MembershipProtocol::addGossip(Message &Target, TimePoint Now) {
   Target.sender = memberToWire(Members_.self());
   std::size_t Count =
-      std::clamp(Members_.newsCount(Now), Options_.PiggybackedMembers_,
-                 Options_.MostPiggybacked_);
+      std::clamp(Members_.recentChangeCount(Now), Options_.PiggybackedMembers_,
+                 Options_.MaxPiggybacked_);
   for (const Member &Update : Members_.piggyback(Count, Now))
     Target.members.push_back(memberToWire(Update));
   for (auto &Version : Hooks_.Versions_())
@@ -209,11 +210,11 @@
 
 void MembershipProtocol::onProbe(const wire::ProbeT &Probe,
                                  const Endpoint &From, TimePoint Now) {
-  learn(Probe, Now);
+  applyGossip(Probe, Now);
   if (Probe.target.empty()) {
     wire::ProbeAckT Ack;
     Ack.sequence = Probe.sequence;
-    fill(Ack, Now);
+    addGossip(Ack, Now);
     // A suspected sender receives the claim, whatever else is piggybacked.
     if (Probe.sender)
       if (auto Known = Members_.find(VmId(Probe.sender->vm)))
@@ -231,7 +232,7 @@
 }
 
 void MembershipProtocol::onAck(const wire::ProbeAckT &Ack, TimePoint Now) {
-  learn(Ack, Now);
+  applyGossip(Ack, Now);
   auto Found = Pending_.find(Ack.sequence);
   if (Found == Pending_.end())
     return;
@@ -241,12 +242,12 @@
     // The answer to an indirect probe says nothing about the latency to this
     // daemon.
     if (!Probe.Indirect_)
-      Health_.good();
+      Health_.recordSuccess();
     return;
   }
   wire::ProbeAckT Forwarded;
   Forwarded.sequence = Probe.RequesterSequence_;
-  fill(Forwarded, Now);
+  addGossip(Forwarded, Now);
   send(std::move(Forwarded), Probe.Requester_);
 }
 
@@ -266,9 +267,9 @@
   sendProbe(Address, nullptr, Now);
 }
 
-void MembershipProtocol::spreadNews(TimePoint Now) {
+void MembershipProtocol::spreadUpdates(TimePoint Now) {
   for (const Member &Target :
-       Members_.randomMembers(Options_.NewsFanOut_, VmId())) {
+       Members_.randomMembers(Options_.UpdateFanOut_, VmId())) {
     auto Address = parseEndpoint(Target.Address_);
     if (Address)
       join(*Address, Now);
--- a/Source/Process/Membership/MembershipProtocol.h
+++ b/Source/Process/Membership/MembershipProtocol.h
@@ -38,9 +38,9 @@
     std::size_t PiggybackedMembers_ = 5;
     /// The maximum when there are many recent changes: about as many as fit
     /// into a datagram that is not fragmented.
-    std::size_t MostPiggybacked_ = 10;
+    std::size_t MaxPiggybacked_ = 10;
     /// The number of members that are informed at once of a new version.
-    std::size_t NewsFanOut_ = 3;
+    std::size_t UpdateFanOut_ = 3;
   };
   struct Hooks {
     std::function<std::vector<wire::ServiceVersionT>()> Versions_;
@@ -59,7 +59,7 @@
   /// \returns when it must be called again.
   TimePoint step(TimePoint Now);
   /// Reports that the timer for step() fired \p Late after its expiry.
-  void wokeLate(std::chrono::steady_clock::duration Late);
+  void onLateTimer(std::chrono::steady_clock::duration Late);
   void receive(std::string_view Datagram, const Endpoint &From, TimePoint Now);
   /// Probes an address whose daemon is still unknown.
   void join(const Endpoint &Address, TimePoint Now);
@@ -67,10 +67,10 @@
   void check(const VmId &Id, TimePoint Now);
   /// Sends the current state to a few members at once, instead of at the next
   /// period.
-  void spreadNews(TimePoint Now);
+  void spreadUpdates(TimePoint Now);
   const Options &options() const { return Options_; }
   /// Returns true once a message of any other daemon was received.
-  bool heardFromPeer() const { return HeardFromPeer_; }
+  bool receivedFromPeer() const { return ReceivedFromPeer_; }
   std::uint64_t bytesSent() const { return BytesSent_; }
   std::uint64_t bytesReceived() const { return BytesReceived_; }
 
@@ -87,13 +87,15 @@
   void onPeriod(TimePoint Now);
   void checkPending(TimePoint Now);
   void probe(const Member &Target, TimePoint Now);
-  void askHelpers(std::uint32_t Sequence, const VmId &Target, TimePoint Now);
+  void requestIndirectProbes(std::uint32_t Sequence, const VmId &Target,
+                             TimePoint Now);
   std::uint32_t sendProbe(const Endpoint &To, const Member *Target,
                           TimePoint Now);
   void onProbe(const wire::ProbeT &Probe, const Endpoint &From, TimePoint Now);
   void onAck(const wire::ProbeAckT &Ack, TimePoint Now);
-  template <class Message> void learn(const Message &Received, TimePoint Now);
-  template <class Message> void fill(Message &Target, TimePoint Now);
+  template <class Message>
+  void applyGossip(const Message &Received, TimePoint Now);
+  template <class Message> void addGossip(Message &Target, TimePoint Now);
   template <class Message> void send(Message Body, const Endpoint &To);
 
   MemberTable &Members_;
@@ -104,7 +106,7 @@
   TimePoint NextPeriod_;
   std::map<std::uint32_t, PendingProbe> Pending_;
   std::uint32_t NextSequence_ = 1;
-  bool HeardFromPeer_ = false;
+  bool ReceivedFromPeer_ = false;
   std::uint64_t BytesSent_ = 0;
   std::uint64_t BytesReceived_ = 0;
 };
--- a/Source/Process/Membership/MembershipService.cpp
+++ b/Source/Process/Membership/MembershipService.cpp
@@ -55,19 +55,19 @@
     if (Error)
       return;
     auto Now = steady_clock::now();
-    Protocol_.wokeLate(Now - Timer_.expiry());
+    Protocol_.onLateTimer(Now - Timer_.expiry());
     schedule(Protocol_.step(Now));
   });
 }
 
 void MembershipService::receiveNext() {
   Socket_.async_receive_from(
-      asio::buffer(Space_), Sender_,
+      asio::buffer(Buffer_), Sender_,
       [this](const error_code &Error, std::size_t Count) {
         if (Error == asio::error::operation_aborted || !Socket_.is_open())
           return;
         if (!Error)
-          Protocol_.receive(std::string_view(Space_.data(), Count),
+          Protocol_.receive(std::string_view(Buffer_.data(), Count),
                             Endpoint(Sender_.address(), Sender_.port()),
                             steady_clock::now());
         receiveNext();
--- a/Source/Process/Membership/MembershipService.h
+++ b/Source/Process/Membership/MembershipService.h
@@ -40,7 +40,9 @@
   }
   /// Sends the current state to a few members at once, instead of at the next
   /// period.
-  void spreadNews() { Protocol_.spreadNews(std::chrono::steady_clock::now()); }
+  void spreadUpdates() {
+    Protocol_.spreadUpdates(std::chrono::steady_clock::now());
+  }
   const MembershipProtocol &protocol() const { return Protocol_; }
 
 private:
@@ -53,7 +55,7 @@
   Udp::socket Socket_;
   boost::asio::steady_timer Timer_;
   MembershipProtocol Protocol_;
-  std::array<char, 65536> Space_;
+  std::array<char, 65536> Buffer_;
   Udp::endpoint Sender_;
 };
 
--- a/Source/Process/Membership/PeerNetwork.cpp
+++ b/Source/Process/Membership/PeerNetwork.cpp
@@ -62,37 +62,37 @@
   auto Channel = FrameChannel::create(std::move(Socket), std::move(Callbacks),
                                       FrameChannel::Timing());
   *Self = Channel;
-  Unnamed_[Channel.get()] = Channel;
+  Unidentified_[Channel.get()] = Channel;
 }
 
 void PeerNetwork::onInbound(const std::shared_ptr<FrameChannel> &Channel,
                             wire::EnvelopeT Message) {
   if (const auto *Hello = Message.body.AsHello()) {
     VmId From(Hello->vm);
-    Unnamed_.erase(Channel.get());
+    Unidentified_.erase(Channel.get());
     auto &Present = Inbound_[From];
     if (Present && Present != Channel)
       Present->close();
     Present = Channel;
-    Hooks_.AskerCame_(From);
+    Hooks_.PeerConnected_(From);
     return;
   }
   auto Found = std::ranges::find_if(
       Inbound_, [&](const auto &Item) { return Item.second == Channel; });
   if (Found != Inbound_.end())
-    Hooks_.Asked_(VmId(Found->first), std::move(Message));
+    Hooks_.RequestReceived_(VmId(Found->first), std::move(Message));
 }
 
 void PeerNetwork::dropInbound(const FrameChannel *Channel) {
-  Unnamed_.erase(Channel);
+  Unidentified_.erase(Channel);
   auto Found = std::ranges::find_if(
       Inbound_, [&](const auto &Item) { return Item.second.get() == Channel; });
   if (Found == Inbound_.end())
     return;
   VmId From = Found->first;
-  BytesOfClosed_ += Found->second->bytesSent();
+  ClosedBytesSent_ += Found->second->bytesSent();
   Inbound_.erase(Found);
-  Hooks_.AskerGone_(From);
+  Hooks_.PeerDisconnected_(From);
 }
 
 void PeerNetwork::send(const VmId &To, std::string Message) {
@@ -127,7 +127,7 @@
     co_return linkDown(To);
   FrameChannel::Hooks Callbacks;
   Callbacks.Received_ = [this, To](wire::EnvelopeT Message) {
-    Hooks_.Answered_(To, std::move(Message));
+    Hooks_.ReplyReceived_(To, std::move(Message));
   };
   Callbacks.Closed_ = [this, To] { linkDown(To); };
   Callbacks.Awaiting_ = [this, To] { return Hooks_.Awaiting_(To); };
@@ -147,7 +147,7 @@
   if (Found == Links_.end())
     return;
   if (Found->second.Channel_)
-    BytesOfClosed_ += Found->second.Channel_->bytesSent();
+    ClosedBytesSent_ += Found->second.Channel_->bytesSent();
   Links_.erase(Found);
   Hooks_.LinkDown_(To);
 }
@@ -166,15 +166,15 @@
       Target.Channel_->close();
   for (auto &[Id, Channel] : Inbound_)
     Channel->close();
-  for (auto &[Raw, Channel] : Unnamed_)
+  for (auto &[Raw, Channel] : Unidentified_)
     Channel->close();
   Links_.clear();
   Inbound_.clear();
-  Unnamed_.clear();
+  Unidentified_.clear();
 }
 
 std::uint64_t PeerNetwork::bytesSent() const {
-  std::uint64_t Sum = BytesOfClosed_;
+  std::uint64_t Sum = ClosedBytesSent_;
   for (const auto &[Id, Target] : Links_)
     Sum += Target.Channel_ ? Target.Channel_->bytesSent() : 0;
   for (const auto &[Id, Channel] : Inbound_)
--- a/Source/Process/Membership/PeerNetwork.h
+++ b/Source/Process/Membership/PeerNetwork.h
@@ -25,15 +25,15 @@
   };
   struct Hooks {
     /// Called with a message on a link that \p From opened.
-    std::function<void(const VmId &From, wire::EnvelopeT)> Asked_;
+    std::function<void(const VmId &From, wire::EnvelopeT)> RequestReceived_;
     /// Called with a message on a link that this daemon opened to \p From.
-    std::function<void(const VmId &From, wire::EnvelopeT)> Answered_;
+    std::function<void(const VmId &From, wire::EnvelopeT)> ReplyReceived_;
     /// Called when a link to \p To could not be opened, or broke.
     std::function<void(const VmId &To)> LinkDown_;
     /// Called when \p From opened a link, which replaces its earlier ones.
-    std::function<void(const VmId &From)> AskerCame_;
+    std::function<void(const VmId &From)> PeerConnected_;
     /// Called when the link that \p From had opened broke.
-    std::function<void(const VmId &From)> AskerGone_;
+    std::function<void(const VmId &From)> PeerDisconnected_;
     /// Returns true while an answer of \p To is awaited.
     std::function<bool(const VmId &To)> Awaiting_;
     std::function<std::optional<std::string>(const VmId &)> AddressOf_;
@@ -77,8 +77,8 @@
   std::map<VmId, Link> Links_;
   std::map<VmId, std::shared_ptr<FrameChannel>> Inbound_;
   /// Connections whose peer has not sent its name.
-  std::map<const FrameChannel *, std::shared_ptr<FrameChannel>> Unnamed_;
-  std::uint64_t BytesOfClosed_ = 0;
+  std::map<const FrameChannel *, std::shared_ptr<FrameChannel>> Unidentified_;
+  std::uint64_t ClosedBytesSent_ = 0;
 };
 
 } // namespace samphireshunt
--- a/Source/Process/Membership/PeerPort.cpp
+++ b/Source/Process/Membership/PeerPort.cpp
@@ -3,10 +3,10 @@
 namespace samphireshunt {
 
 Result<void>
-openAtOnePort(const Endpoint &Wanted,
-              const std::function<Result<Endpoint>()> &OpenTcp,
-              const std::function<Result<void>(Endpoint)> &OpenUdp) {
-  int Tries = Wanted.port() == 0 ? ChosenPortTries : 1;
+openOnSamePort(const Endpoint &Wanted,
+               const std::function<Result<Endpoint>()> &OpenTcp,
+               const std::function<Result<void>(Endpoint)> &OpenUdp) {
+  int Tries = Wanted.port() == 0 ? MaxPortAttempts : 1;
   while (true) {
     auto Address = OpenTcp();
     if (!Address)
--- a/Source/Process/Membership/PeerPort.h
+++ b/Source/Process/Membership/PeerPort.h
@@ -11,7 +11,7 @@
 
 /// The number of ports tried before the start fails. If a fraction p of the UDP
 /// ports is in use, all attempts fail with a probability of p to this power.
-constexpr int ChosenPortTries = 8;
+constexpr int MaxPortAttempts = 8;
 
 /// Opens a TCP listener at \p Wanted, then a UDP socket at the resulting
 /// address. With port 0, the system chooses a port that is free for TCP, but
@@ -19,8 +19,8 @@
 /// Another port is chosen in that case.
 /// \returns the failure of the socket that could not be opened.
 Result<void>
-openAtOnePort(const Endpoint &Wanted,
-              const std::function<Result<Endpoint>()> &OpenTcp,
-              const std::function<Result<void>(Endpoint)> &OpenUdp);
+openOnSamePort(const Endpoint &Wanted,
+               const std::function<Result<Endpoint>()> &OpenTcp,
+               const std::function<Result<void>(Endpoint)> &OpenUdp);
 
 } // namespace samphireshunt
--- a/Source/Process/Scheduling/AllotmentLedger.cpp
+++ b/Source/Process/Scheduling/AllotmentLedger.cpp
@@ -49,11 +49,11 @@
                                                 const Flow &Tolerance,
                                                 double Seconds) {
   double Allotted = Left.Allotted_ + Regular.PerSecond_ * Seconds;
-  double Overflow = std::max(0.0, Allotted - Regular.Most_);
+  double Overflow = std::max(0.0, Allotted - Regular.Capacity_);
   double Tolerated =
       Left.Tolerated_ + Tolerance.PerSecond_ * Seconds + Overflow;
-  return {std::min(Allotted, Regular.Most_),
-          std::min(Tolerated, Tolerance.Most_)};
+  return {std::min(Allotted, Regular.Capacity_),
+          std::min(Tolerated, Tolerance.Capacity_)};
 }
 
 std::optional<AllotmentLedger::Levels>
@@ -62,19 +62,20 @@
   auto Fits = [Cost, Reserved](double Level, double Most) {
     return Level >= Cost + std::min(Reserved, MaxReservedFraction * Most);
   };
-  if (Fits(Left.Allotted_, Regular.Most_))
+  if (Fits(Left.Allotted_, Regular.Capacity_))
     return Levels{Cost, 0};
-  if (Fits(Left.Tolerated_, Tolerance.Most_))
+  if (Fits(Left.Tolerated_, Tolerance.Capacity_))
     return Levels{0, Cost};
-  bool FitsBoth = Cost > Regular.Most_ && Fits(Left.Allotted_ + Left.Tolerated_,
-                                               Regular.Most_ + Tolerance.Most_);
+  bool FitsBoth =
+      Cost > Regular.Capacity_ && Fits(Left.Allotted_ + Left.Tolerated_,
+                                       Regular.Capacity_ + Tolerance.Capacity_);
   if (!FitsBoth)
     return std::nullopt;
   return Levels{Left.Allotted_, Cost - Left.Allotted_};
 }
 
-bool AllotmentLedger::take(const Charge &Request, const Allotment &Allowed,
-                           double Share, TimePoint Now) {
+bool AllotmentLedger::charge(const Charge &Request, const Allotment &Allowed,
+                             double Share, TimePoint Now) {
   if (Allowed.PerSecond_ <= 0)
     return true;
   Account Empty{{}, 0, Started_};
@@ -86,54 +87,54 @@
   Flow Tolerance = tolerated(Allowed, Share);
   Levels &Left = Target.Left_;
   Left = filled(Left, Regular, Tolerance, Elapsed.count());
-  double Largest = noteCost(Target, Request, Elapsed);
-  double Reserved = Request.LeavesRoom_ ? Largest : 0;
+  double Largest = recordCost(Target, Request, Elapsed);
+  double Reserved = Request.LeavesRoomForHighTier_ ? Largest : 0;
   auto Cost = fit(Left, Request.Cost_, Reserved, Regular, Tolerance);
   if (!Cost)
     return false;
   Left.Allotted_ -= Cost->Allotted_;
   Left.Tolerated_ -= Cost->Tolerated_;
-  Open_[Request.Id_] = {Request.Customer_, *Cost};
+  PendingCharges_[Request.Id_] = {Request.Customer_, *Cost};
   return true;
 }
 
 /// Decays the recorded largest cost of the highest tier and updates it with the
 /// request. \returns that cost.
-double AllotmentLedger::noteCost(Account &Target, const Charge &Request,
-                                 std::chrono::duration<double> Elapsed) {
+double AllotmentLedger::recordCost(Account &Target, const Charge &Request,
+                                   std::chrono::duration<double> Elapsed) {
   double DecayFactor =
       std::exp2(-Elapsed / std::chrono::duration<double>(LargestHalfLife));
   Target.Largest_ *= DecayFactor;
-  if (!Request.LeavesRoom_)
+  if (!Request.LeavesRoomForHighTier_)
     Target.Largest_ = std::max(Request.Cost_, Target.Largest_);
   return Target.Largest_;
 }
 
-std::chrono::milliseconds AllotmentLedger::fitsIn(const Charge &Request,
-                                                  const Allotment &Allowed,
-                                                  double Share) const {
+std::chrono::milliseconds
+AllotmentLedger::timeUntilFit(const Charge &Request, const Allotment &Allowed,
+                              double Share) const {
   auto Found = Accounts_.find(Request.Customer_);
   Flow Regular = allotted(Allowed, Share);
   Flow Tolerance = tolerated(Allowed, Share);
   if (Found == Accounts_.end() ||
-      Regular.Most_ + Tolerance.Most_ < Request.Cost_)
+      Regular.Capacity_ + Tolerance.Capacity_ < Request.Cost_)
     return Options_.Window_;
   const Levels &Left = Found->second.Left_;
   double Seconds = (Request.Cost_ - Left.Allotted_) / Regular.PerSecond_;
-  if (Regular.Most_ < Request.Cost_)
+  if (Regular.Capacity_ < Request.Cost_)
     Seconds = std::max((Request.Cost_ - Left.Allotted_ - Left.Tolerated_) /
                            (Regular.PerSecond_ + Tolerance.PerSecond_),
-                       Seconds - Tolerance.Most_ / Regular.PerSecond_);
+                       Seconds - Tolerance.Capacity_ / Regular.PerSecond_);
   std::chrono::duration<double> Window = Options_.Window_;
   std::chrono::duration<double> Exact(std::clamp(Seconds, 0.0, Window.count()));
   return std::chrono::duration_cast<std::chrono::milliseconds>(Exact);
 }
 
-void AllotmentLedger::giveBack(const RequestId &Id) {
-  auto Node = Open_.extract(Id);
+void AllotmentLedger::refund(const RequestId &Id) {
+  auto Node = PendingCharges_.extract(Id);
   if (!Node)
     return;
-  const Taken &Refunded = Node.mapped();
+  const PendingCharge &Refunded = Node.mapped();
   auto Found = Accounts_.find(Refunded.Customer_);
   if (Found == Accounts_.end())
     return;
--- a/Source/Process/Scheduling/AllotmentLedger.h
+++ b/Source/Process/Scheduling/AllotmentLedger.h
@@ -56,22 +56,23 @@
     double Cost_ = 0; ///< In the allotment's unit.
     /// The request is not of the highest tier and must leave room for a large
     /// one of it.
-    bool LeavesRoom_ = false;
+    bool LeavesRoomForHighTier_ = false;
   };
 
   /// Charges the request's cost to the customer's allotment, of which this
   /// keeper may use the fraction \p Share. \returns false, without charging
   /// anything, when too little is left.
-  bool take(const Charge &Request, const Allotment &Allowed, double Share,
-            TimePoint Now);
+  bool charge(const Charge &Request, const Allotment &Allowed, double Share,
+              TimePoint Now);
   /// \returns the time after which a request that was just refused would fit if
   /// nothing else is charged meanwhile; the whole window if it would never fit.
-  std::chrono::milliseconds
-  fitsIn(const Charge &Request, const Allotment &Allowed, double Share) const;
+  std::chrono::milliseconds timeUntilFit(const Charge &Request,
+                                         const Allotment &Allowed,
+                                         double Share) const;
   /// Makes the charge of a granted request final.
-  void used(const RequestId &Id) { Open_.erase(Id); }
+  void commit(const RequestId &Id) { PendingCharges_.erase(Id); }
   /// Refunds the charge of a request that was not granted.
-  void giveBack(const RequestId &Id);
+  void refund(const RequestId &Id);
   /// Starts again with empty buckets, because another daemon has counted until
   /// now.
   void restart(TimePoint Now);
@@ -80,7 +81,7 @@
   /// Fill rate and capacity of a bucket.
   struct Flow {
     double PerSecond_;
-    double Most_;
+    double Capacity_;
   };
   /// The levels of the two buckets, or an amount taken from each.
   struct Levels {
@@ -104,9 +105,9 @@
     double Largest_ = 0; ///< Decaying cost of the largest recent request.
     TimePoint Filled_;
   };
-  static double noteCost(Account &Target, const Charge &Request,
-                         std::chrono::duration<double> Elapsed);
-  struct Taken {
+  static double recordCost(Account &Target, const Charge &Request,
+                           std::chrono::duration<double> Elapsed);
+  struct PendingCharge {
     CustomerName Customer_;
     Levels Cost_;
   };
@@ -115,7 +116,7 @@
   TimePoint Started_;
   std::unordered_map<CustomerName, Account> Accounts_;
   /// Charges of requests that are neither granted nor refused yet.
-  std::unordered_map<RequestId, Taken> Open_;
+  std::unordered_map<RequestId, PendingCharge> PendingCharges_;
 };
 
 } // namespace samphireshunt
--- a/Source/Process/Scheduling/EngineSpeed.cpp
+++ b/Source/Process/Scheduling/EngineSpeed.cpp
@@ -73,7 +73,7 @@
   StreamNanos_ = StreamNanos_ * Factor + static_cast<double>(Time.count());
 }
 
-EngineSpeed::Nanos EngineSpeed::betweenTokens() const {
+EngineSpeed::Nanos EngineSpeed::timeBetweenTokens() const {
   if (!known())
     return Nanos(0);
   return Nanos(static_cast<std::int64_t>(StreamNanos_ / StreamTokens_));
@@ -90,19 +90,19 @@
   constexpr double AssumedTokens = 50;
   StreamTokens_ = AssumedTokens;
   StreamNanos_ =
-      AssumedTokens * static_cast<double>(Typical.betweenTokens().count());
+      AssumedTokens * static_cast<double>(Typical.timeBetweenTokens().count());
 }
 
 double EngineSpeed::nanosPerToken() const {
   return Line_.Weight_ > 0 ? NanosPerToken_ : AssumedNanosPerToken;
 }
 
-EngineSpeed::Nanos EngineSpeed::reading(Tokens Unread) const {
+EngineSpeed::Nanos EngineSpeed::readingTime(Tokens Unread) const {
   double Time = nanosPerToken() * static_cast<double>(Unread.count());
   return Nanos(static_cast<std::int64_t>(Time));
 }
 
-Tokens EngineSpeed::readable(Nanos Time) const {
+Tokens EngineSpeed::longestPromptWithin(Nanos Time) const {
   // Bounds the result when the fitted time per token is zero.
   constexpr double MinNanosPerToken = 1;
   double Count = static_cast<double>(std::max(Time, Nanos(0)).count()) /
@@ -110,8 +110,8 @@
   return Tokens(static_cast<std::int64_t>(Count));
 }
 
-EngineSpeed::Nanos EngineSpeed::untilFirstToken(Tokens Unread) const {
-  return Nanos(static_cast<std::int64_t>(FixedNanos_)) + reading(Unread);
+EngineSpeed::Nanos EngineSpeed::timeToFirstToken(Tokens Unread) const {
+  return Nanos(static_cast<std::int64_t>(FixedNanos_)) + readingTime(Unread);
 }
 
 } // namespace samphireshunt
--- a/Source/Process/Scheduling/EngineSpeed.h
+++ b/Source/Process/Scheduling/EngineSpeed.h
@@ -32,13 +32,13 @@
   /// True once a speed was measured or assumed.
   bool known() const { return StreamTokens_ > 0; }
   /// Expected time until the first token, with \p Unread prompt tokens to read.
-  Nanos untilFirstToken(Tokens Unread) const;
+  Nanos timeToFirstToken(Tokens Unread) const;
   /// Expected time for reading \p Unread prompt tokens.
-  Nanos reading(Tokens Unread) const;
+  Nanos readingTime(Tokens Unread) const;
   /// The longest prompt that the engine reads within \p Time.
-  Tokens readable(Nanos Time) const;
+  Tokens longestPromptWithin(Nanos Time) const;
   /// Expected time between tokens; 0 while unknown.
-  Nanos betweenTokens() const;
+  Nanos timeBetweenTokens() const;
 
 private:
   /// Sums for a least-squares line through (unread tokens, delay); older
--- a/Source/Process/Scheduling/Scheduler.cpp
+++ b/Source/Process/Scheduling/Scheduler.cpp
@@ -16,7 +16,7 @@
 constexpr milliseconds MaxRetryAfter{30000};
 
 /// \returns the cost of a request in its customer's share of the tier.
-double tokenCost(const AskedRequest &Request) {
+double tokenCost(const GrantRequest &Request) {
   auto Cost = (Request.Prompt_ + Request.Answer_).count();
   return static_cast<double>(std::max<std::int64_t>(1, Cost));
 }
@@ -28,7 +28,7 @@
       Random_(Settings.Seed_) {}
 
 void Scheduler::configure(std::vector<ServerCapacity> Servers,
-                          std::map<CustomerName, CustomerShare> Customers,
+                          std::map<CustomerName, CustomerPolicy> Customers,
                           std::uint32_t TierCount, std::size_t MaxWaiting) {
   std::map<ServerName, ServerModel> NextServers;
   for (const ServerCapacity &Capacity : Servers) {
@@ -37,11 +37,11 @@
                                          : std::move(Known->second);
     Model.configure(Capacity);
     if (Known == Servers_.end())
-      Model.assume(Typical_);
+      Model.assume(PoolSpeed_);
     NextServers.emplace(Capacity.Name_, std::move(Model));
   }
   Servers_ = std::move(NextServers);
-  Shares_ = std::move(Customers);
+  CustomerPolicies_ = std::move(Customers);
   Options_.MaxWaiting_ = MaxWaiting;
   // Requests that wait in a tier that the document no longer has stay in their
   // queue until they are served or expire.
@@ -57,7 +57,7 @@
 void Scheduler::addTiers(std::uint32_t Count) {
   std::vector<RequestId> Ids;
   for (const auto &[Id, Request] : Waiting_)
-    if (Request.Asked_.Tier_.count() >= Tiers_.size())
+    if (Request.Details_.Tier_.count() >= Tiers_.size())
       Ids.push_back(Id);
   std::vector<WaitingRequest> Moved;
   std::ranges::transform(Ids, std::back_inserter(Moved),
@@ -74,12 +74,12 @@
 }
 
 double Scheduler::weightOf(const CustomerName &Customer) const {
-  auto Found = Shares_.find(Customer);
-  return Found == Shares_.end() ? 1.0 : Found->second.Weight_;
+  auto Found = CustomerPolicies_.find(Customer);
+  return Found == CustomerPolicies_.end() ? 1.0 : Found->second.Weight_;
 }
 
 void Scheduler::enqueue(WaitingRequest Request) {
-  const AskedRequest &Details = Request.Asked_;
+  const GrantRequest &Details = Request.Details_;
   TierQueue &Tier = Tiers_[queueIndex(Details.Tier_)];
   CustomerName Name =
       Options_.FairCustomers_ ? Details.Customer_ : CustomerName();
@@ -91,10 +91,10 @@
           std::max(Queue.ServedTokens_, Tier.Active_.begin()->first);
     Tier.Active_.emplace(Queue.ServedTokens_, Name);
   }
-  Queue.Requests_.emplace(Request.Standing_.Urgency_, Request.Arrival_,
+  Queue.Requests_.emplace(Request.Rank_.Urgency_, Request.Arrival_,
                           Details.Id_);
   ++Tier.Count_;
-  Tier.LateCount_ += Request.Standing_.Late_ ? 1 : 0;
+  Tier.ObjectiveMissedCount_ += Request.Rank_.ObjectiveMissed_ ? 1 : 0;
   ByLatestStart_.emplace(Request.LatestStart_, Details.Id_);
   RequestId Id = Details.Id_;
   Waiting_.emplace(Id, std::move(Request));
@@ -103,21 +103,22 @@
 Scheduler::WaitingRequest Scheduler::dequeue(const RequestId &Id) {
   auto Node = Waiting_.extract(Id);
   WaitingRequest Request = std::move(Node.mapped());
-  const AskedRequest &Details = Request.Asked_;
+  const GrantRequest &Details = Request.Details_;
   TierQueue &Tier = Tiers_[queueIndex(Details.Tier_)];
   CustomerName Name =
       Options_.FairCustomers_ ? Details.Customer_ : CustomerName();
   CustomerQueue &Queue = Tier.Customers_[Name];
-  Queue.Requests_.erase({Request.Standing_.Urgency_, Request.Arrival_, Id});
+  Queue.Requests_.erase({Request.Rank_.Urgency_, Request.Arrival_, Id});
   --Tier.Count_;
-  Tier.LateCount_ -= Request.Standing_.Late_ ? 1 : 0;
+  Tier.ObjectiveMissedCount_ -= Request.Rank_.ObjectiveMissed_ ? 1 : 0;
   if (Queue.Requests_.empty())
     Tier.Active_.erase({Queue.ServedTokens_, Name});
   ByLatestStart_.erase({Request.LatestStart_, Id});
   return Request;
 }
 
-std::vector<Decision> Scheduler::ask(AskedRequest Request, TimePoint Now) {
+std::vector<Decision> Scheduler::requestGrant(GrantRequest Request,
+                                              TimePoint Now) {
   std::vector<Decision> Out;
   // An ingress daemon repeats a grant request when its link was replaced.
   // Either the first one is still queued, or it was granted and the grant was
@@ -127,11 +128,11 @@
   if (auto Known = Running_.find(Request.Id_); Known != Running_.end())
     endRunning(Known);
   TierQueue &OwnTier = Tiers_[queueIndex(Request.Tier_)];
-  Standing Rank = standingOf(Request, Now);
-  if (!Request.AskedBefore_) {
+  QueueRank Rank = rankOf(Request, Now);
+  if (!Request.IsRetry_) {
     OwnTier.Share_.decay(Now);
     OwnTier.Share_.Arrived_ += 1;
-    FadingShare &OfLength = OwnTier.ShareByLength_[Rank.Length_];
+    DecayingShare &OfLength = OwnTier.ShareByLength_[Rank.Length_];
     OfLength.decay(Now);
     OfLength.Arrived_ += 1;
   }
@@ -160,8 +161,8 @@
     return Out;
   }
   if (Waiting_.size() >= Options_.MaxWaiting_ &&
-      !makeRoom(Request.Tier_, Out)) {
-    noteShed(Request.Tier_, Now, Out);
+      !shedOneBelow(Request.Tier_, Out)) {
+    handleShed(Request.Tier_, Now, Out);
     Out.push_back(refusal(Request, ResultCode::QueueFull));
     return Out;
   }
@@ -172,14 +173,14 @@
   if (Request.MaxWait_.count() > 0)
     Waiting.LatestStart_ =
         std::min(Waiting.LatestStart_, Now + Request.MaxWait_);
-  Waiting.Standing_ = Rank;
-  Waiting.Asked_ = std::move(Request);
+  Waiting.Rank_ = Rank;
+  Waiting.Details_ = std::move(Request);
   OwnTier.RecentAdmitted_.add(Now);
   enqueue(std::move(Waiting));
   return Out;
 }
 
-bool Scheduler::hasServerFor(const AskedRequest &Request) const {
+bool Scheduler::hasServerFor(const GrantRequest &Request) const {
   return std::ranges::any_of(Servers_, [&](const auto &Item) {
     return Item.second.usable() &&
            std::ranges::count(Request.Excluded_, Item.first) == 0;
@@ -193,13 +194,13 @@
       Servers_, [](const auto &Item) { return Item.second.usable(); });
   while (!AnyUsable && !ByLatestStart_.empty()) {
     WaitingRequest Refused = dequeue(ByLatestStart_.begin()->second);
-    Out.push_back(refusal(Refused.Asked_, ResultCode::NoBackendServer));
+    Out.push_back(refusal(Refused.Details_, ResultCode::NoBackendServer));
   }
 }
 
-RefuseDecision Scheduler::refusal(const AskedRequest &Request,
+RefuseDecision Scheduler::refusal(const GrantRequest &Request,
                                   ResultCode Code) {
-  return {Request.Id_, Code, retryAfter(Request.Tier_), Request.Entry_};
+  return {Request.Id_, Code, retryAfter(Request.Tier_), Request.Ingress_};
 }
 
 /// Divides the number of requests that are served first by the rate at which
@@ -236,12 +237,12 @@
   return std::get<RequestId>(*Queue.Requests_.rbegin());
 }
 
-bool Scheduler::makeRoom(TierIndex Tier, std::vector<Decision> &Out) {
+bool Scheduler::shedOneBelow(TierIndex Tier, std::vector<Decision> &Out) {
   auto Victim = lowestWaiting(Tier);
   if (!Victim)
     return false;
   WaitingRequest Shed = dequeue(*Victim);
-  Out.push_back(refusal(Shed.Asked_, ResultCode::ShedForHigherTier));
+  Out.push_back(refusal(Shed.Details_, ResultCode::ShedForHigherTier));
   return true;
 }
 
@@ -267,7 +268,7 @@
 /// \returns the engine that the request runs on, or null if the engine is gone
 /// or has restarted since: the outcome of the earlier process says nothing
 /// about the current one.
-ServerModel *Scheduler::runningAt(const RunningRequest &Request) {
+ServerModel *Scheduler::runningServer(const RunningRequest &Request) {
   ServerModel *Current = server(Request.Server_);
   return Current && Current->runs(Request.Id_) ? Current : nullptr;
 }
@@ -275,7 +276,7 @@
 Scheduler::RunningMap::iterator
 Scheduler::endRunning(RunningMap::iterator Item) {
   const RunningRequest &Request = Item->second;
-  if (ServerModel *Server = runningAt(Request))
+  if (ServerModel *Server = runningServer(Request))
     Server->end(Request.Id_);
   auto Count = RunningByCustomer_.find(Request.Customer_);
   if (Count != RunningByCustomer_.end() && --Count->second == 0)
@@ -290,9 +291,9 @@
   if (Found == Running_.end())
     return;
   const RunningRequest &Ended = Found->second;
-  if (ServerModel *Server = runningAt(Ended)) {
-    Server->learn(Sample, Typical_);
-    judge(*Server, Sample, Now);
+  if (ServerModel *Server = runningServer(Ended)) {
+    Server->recordServed(Sample, PoolSpeed_);
+    recordOutcome(*Server, Sample, Now);
   }
   Ends_.add(Now);
   if (Sample.Complete_ && Ended.Answer_.count() > 0) {
@@ -306,7 +307,7 @@
   endRunning(Found);
   if (!Sample.Complete_)
     return;
-  noteHold(Sample);
+  recordSlotTime(Sample);
   std::chrono::duration<double> Gap = Now - LastEnd_;
   LastEnd_ = Now;
   constexpr double Smoothing = 0.05;
@@ -319,24 +320,24 @@
   auto Found = Running_.find(Id);
   if (Found == Running_.end())
     return;
-  if (ServerModel *Server = runningAt(Found->second))
-    Server->firstToken(Id, Sample, Typical_);
+  if (ServerModel *Server = runningServer(Found->second))
+    Server->firstToken(Id, Sample, PoolSpeed_);
 }
 
 std::vector<RequestId> Scheduler::removeWaiting(const VmId &Ingress) {
   std::vector<RequestId> Removed;
   for (const auto &[Id, Request] : Waiting_)
-    if (Request.Asked_.Entry_ == Ingress)
+    if (Request.Details_.Ingress_ == Ingress)
       Removed.push_back(Id);
   std::ranges::for_each(Removed, [this](RequestId Id) { dequeue(Id); });
   return Removed;
 }
 
-EntryRemains Scheduler::removeEntry(const VmId &Ingress) {
-  EntryRemains Removed;
+RemovedRequests Scheduler::removeIngressRequests(const VmId &Ingress) {
+  RemovedRequests Removed;
   Removed.Waiting_ = removeWaiting(Ingress);
   for (auto Item = Running_.begin(); Item != Running_.end();) {
-    if (Item->second.Entry_ != Ingress) {
+    if (Item->second.Ingress_ != Ingress) {
       ++Item;
       continue;
     }
@@ -357,12 +358,12 @@
   if (!Current || Tier < *Current)
     Floor_ = Tier;
   FloorUntil_ = std::max(FloorUntil_, Until);
-  shedBelow(Tier, Out);
+  shedAllBelow(Tier, Out);
   return Out;
 }
 
-void Scheduler::shedBelow(TierIndex Tier, std::vector<Decision> &Out) {
-  while (makeRoom(Tier, Out)) {
+void Scheduler::shedAllBelow(TierIndex Tier, std::vector<Decision> &Out) {
+  while (shedOneBelow(Tier, Out)) {
   }
 }
 
@@ -370,11 +371,11 @@
 /// shed for lack of capacity; otherwise a higher tier would be shed while a
 /// lower one is still served. Waiting requests of lower tiers are shed too;
 /// running ones are cancelled unless they must not run again.
-void Scheduler::noteShed(TierIndex Tier, TimePoint Now,
-                         std::vector<Decision> &Out) {
+void Scheduler::handleShed(TierIndex Tier, TimePoint Now,
+                           std::vector<Decision> &Out) {
   if (!Options_.StrictTiers_ || Options_.GuaranteedShare_ > 0)
     return;
-  auto More = raiseFloor(Tier, Now + Options_.FloorHold_, Now);
+  auto More = raiseFloor(Tier, Now + Options_.FloorDuration_, Now);
   std::ranges::move(More, std::back_inserter(Out));
   while (Options_.Preempt_ && preemptFor(Tier, Out)) {
   }
@@ -399,7 +400,7 @@
   if (!Victim)
     return false;
   Cancelled_.insert(Victim->Id_);
-  Out.push_back(CancelDecision{Victim->Id_, Victim->Server_, Victim->Entry_});
+  Out.push_back(CancelDecision{Victim->Id_, Victim->Server_, Victim->Ingress_});
   return true;
 }
 
@@ -407,8 +408,8 @@
   while (!ByLatestStart_.empty() && ByLatestStart_.begin()->first <= Now) {
     RequestId Id = ByLatestStart_.begin()->second;
     WaitingRequest Expired = dequeue(Id);
-    noteShed(Expired.Asked_.Tier_, Now, Out);
-    Out.push_back(refusal(Expired.Asked_, ResultCode::DeadlineInQueue));
+    handleShed(Expired.Details_.Tier_, Now, Out);
+    Out.push_back(refusal(Expired.Details_, ResultCode::DeadlineInQueue));
   }
 }
 
@@ -419,21 +420,21 @@
     if (LatestStart - Options_.PreemptMargin_ > Now)
       break;
     WaitingRequest &Urgent = Waiting_.at(Id);
-    if (!Urgent.Preempting_ && !atCeiling(Urgent.Asked_.Customer_))
-      Urgent.Preempting_ = preemptFor(Urgent.Asked_.Tier_, Out);
+    if (!Urgent.Preempting_ && !atMaxInFlight(Urgent.Details_.Customer_))
+      Urgent.Preempting_ = preemptFor(Urgent.Details_.Tier_, Out);
   }
 }
 
-bool Scheduler::atCeiling(const CustomerName &Customer) const {
-  auto Share = Shares_.find(Customer);
-  if (Share == Shares_.end() || Share->second.MaxInFlight_ == 0)
+bool Scheduler::atMaxInFlight(const CustomerName &Customer) const {
+  auto Share = CustomerPolicies_.find(Customer);
+  if (Share == CustomerPolicies_.end() || Share->second.MaxInFlight_ == 0)
     return false;
   auto Count = RunningByCustomer_.find(Customer);
   return Count != RunningByCustomer_.end() &&
          Count->second >= Share->second.MaxInFlight_;
 }
 
-bool Scheduler::anySpare() const {
+bool Scheduler::anyEngineHasRoom() const {
   return std::ranges::any_of(Servers_, [this](const auto &Item) {
     return Options_.TwoChoices_ ? Item.second.usable()
                                 : Item.second.hasRoom(Share_);
@@ -460,14 +461,19 @@
 
 void Scheduler::serve(const WaitingRequest &Request, ServerModel &Server,
                       std::vector<Decision> &Out) {
-  const AskedRequest &Details = Request.Asked_;
+  const GrantRequest &Details = Request.Details_;
   const ServerName &Name = Server.capacity().Name_;
   Server.start(Details.Id_, Details.Prompt_, prefixOf(Details));
   ++RunningByCustomer_[Details.Customer_];
-  Running_[Details.Id_] = {
-      Details.Id_,     Details.Tier_,   Details.Customer_,      Name,
-      Details.Prompt_, Details.Answer_, Details.NonIdempotent_, Details.Entry_};
-  Out.push_back(GrantDecision{Details.Id_, Name, Details.Entry_});
+  Running_[Details.Id_] = {Details.Id_,
+                           Details.Tier_,
+                           Details.Customer_,
+                           Name,
+                           Details.Prompt_,
+                           Details.Answer_,
+                           Details.NonIdempotent_,
+                           Details.Ingress_};
+  Out.push_back(GrantDecision{Details.Id_, Name, Details.Ingress_});
 }
 
 /// Grants one request of the tier. Requests that have already missed their
@@ -485,15 +491,15 @@
   for (const auto &[Served, Name] : Tier.Active_) {
     const CustomerQueue &Queue = Tier.Customers_.at(Name);
     RequestId Head = std::get<RequestId>(*Queue.Requests_.begin());
-    const AskedRequest &First = Waiting_.at(Head).Asked_;
-    if (atCeiling(First.Customer_))
+    const GrantRequest &First = Waiting_.at(Head).Details_;
+    if (atMaxInFlight(First.Customer_))
       continue;
     auto Placed =
-        InTime ? firstOf(Queue, true, Now) : firstPlaceable(Queue, Now);
-    if (!Placed && !InTime && isDoomed(First, Now)) {
+        InTime ? firstGrantable(Queue, true, Now) : firstPlaceable(Queue, Now);
+    if (!Placed && !InTime && isInfeasible(First, Now)) {
       WaitingRequest Shed = dequeue(Head);
-      noteShed(Shed.Asked_.Tier_, Now, Out);
-      Out.push_back(refusal(Shed.Asked_, ResultCode::DeadlineInQueue));
+      handleShed(Shed.Details_.Tier_, Now, Out);
+      Out.push_back(refusal(Shed.Details_, ResultCode::DeadlineInQueue));
       return true;
     }
     if (!Placed)
@@ -514,26 +520,26 @@
     Tier.Active_.erase({Queue.ServedTokens_, Customer});
   Tier.Share_.decay(Now);
   Tier.Share_.Granted_ += 1;
-  FadingShare &OfLength = Tier.ShareByLength_[Granted.Standing_.Length_];
+  DecayingShare &OfLength = Tier.ShareByLength_[Granted.Rank_.Length_];
   OfLength.decay(Now);
   OfLength.Granted_ += 1;
-  double Cost = tokenCost(Granted.Asked_);
-  Queue.ServedTokens_ += Cost / weightOf(Granted.Asked_.Customer_);
+  double Cost = tokenCost(Granted.Details_);
+  Queue.ServedTokens_ += Cost / weightOf(Granted.Details_.Customer_);
   if (StillActive)
     Tier.Active_.emplace(Queue.ServedTokens_, Customer);
   serve(Granted, *Placed.Server_, Out);
 }
 
 void Scheduler::grant(TimePoint Now, std::vector<Decision> &Out) {
-  if (Now < WarmUntil_)
+  if (Now < WarmupEnd_)
     return;
   Round_ = Round();
   grantStarving(Now, Out);
   for (TierQueue &Tier : Tiers_) {
-    while (!Tier.Active_.empty() && anySpare() &&
+    while (!Tier.Active_.empty() && anyEngineHasRoom() &&
            grantFromTier(Tier, Now, Out)) {
     }
-    if (!anySpare())
+    if (!anyEngineHasRoom())
       return;
   }
 }
@@ -542,7 +548,7 @@
 /// others starve.
 void Scheduler::grantStarving(TimePoint Now, std::vector<Decision> &Out) {
   std::for_each(Tiers_.rbegin(), Tiers_.rend(), [&](TierQueue &Tier) {
-    while (isStarving(Tier, Now) && anySpare() &&
+    while (isStarving(Tier, Now) && anyEngineHasRoom() &&
            grantFromTier(Tier, Now, Out)) {
     }
   });
@@ -550,7 +556,7 @@
 
 std::vector<Decision> Scheduler::decide(TimePoint Now) {
   std::vector<Decision> Out;
-  judgeServers(Now);
+  applyHealth(Now);
   refuseUnservable(Out);
   grant(Now, Out);
   preemptUrgent(Now, Out);
--- a/Source/Process/Scheduling/Scheduler.h
+++ b/Source/Process/Scheduling/Scheduler.h
@@ -30,7 +30,7 @@
 namespace samphireshunt {
 
 /// A request that waits for an engine of the cell.
-struct AskedRequest {
+struct GrantRequest {
   RequestId Id_;
   TierIndex Tier_;
   CustomerName Customer_;
@@ -47,17 +47,17 @@
   Tokens Answer_; ///< Maximum number of generated tokens.
   /// The caller's estimate of the answer's length; 0 means none. The estimate
   /// is right in the median, but more often than not it is off by half.
-  Tokens Guessed_;
+  Tokens EstimatedAnswer_;
   /// True if the caller retries, or another cell refused the request. A caller
   /// that retries often must not be counted as several refused callers.
-  bool AskedBefore_ = false;
+  bool IsRetry_ = false;
   std::vector<std::uint64_t> Prefix_; ///< Hashes of the prompt's blocks.
   /// The parts from which Prefix_ was computed, where only the parts of the
   /// prompt are known.
   std::vector<PromptPart> Parts_;
   bool NonIdempotent_ = false;
   std::vector<ServerName> Excluded_;
-  VmId Entry_;
+  VmId Ingress_;
 };
 
 /// A request that runs on an engine of the cell.
@@ -69,11 +69,11 @@
   Tokens Prompt_;
   Tokens Answer_;
   bool NonIdempotent_ = false;
-  VmId Entry_;
+  VmId Ingress_;
 };
 
 /// The requests that an ingress daemon had at a keeper when it was removed.
-struct EntryRemains {
+struct RemovedRequests {
   std::vector<RequestId> Waiting_;
   std::vector<RunningRequest> Running_;
 };
@@ -81,25 +81,25 @@
 struct GrantDecision {
   RequestId Id_;
   ServerName Server_;
-  VmId Entry_;
+  VmId Ingress_;
   bool operator==(const GrantDecision &) const = default;
 };
 struct RefuseDecision {
   RequestId Id_;
   ResultCode Code_;
   std::chrono::milliseconds RetryAfter_;
-  VmId Entry_;
+  VmId Ingress_;
 };
 struct CancelDecision {
   RequestId Id_;
   ServerName Server_;
-  VmId Entry_;
+  VmId Ingress_;
   bool operator==(const CancelDecision &) const = default;
 };
 using Decision = std::variant<GrantDecision, RefuseDecision, CancelDecision>;
 
 /// A customer's weight and limit.
-struct CustomerShare {
+struct CustomerPolicy {
   std::uint32_t Weight_ = 1;
   std::uint32_t MaxInFlight_ = 0; ///< 0 means no limit.
 };
@@ -111,7 +111,7 @@
     std::size_t MaxWaiting_ = 1000;
     /// How long lower tiers are refused after a request of a higher one was
     /// shed.
-    std::chrono::milliseconds FloorHold_{400};
+    std::chrono::milliseconds FloorDuration_{400};
     /// How long before its latest start a request may preempt a running request
     /// of a lower tier.
     std::chrono::milliseconds PreemptMargin_{250};
@@ -126,19 +126,19 @@
     bool RefuseLongWaits_ = false;
     /// The first event is expected within this fraction of the time left to the
     /// objective, where an engine that is not among the fastest is chosen.
-    double ObjectivePart_ = 0.5;
+    double FirstEventFraction_ = 0.5;
     /// Send prompts only to engines where the pauses of all streams stay within
     /// what is allowed.
-    bool KeepPauses_ = true;
+    bool LimitPauses_ = true;
     /// Requests that missed their objective do not count in the predicted wait
     /// of those that can still meet theirs.
-    bool CountLateApart_ = true;
+    bool CountMissedSeparately_ = true;
     /// Schedule long answers after shorter ones.
-    bool PutLongBack_ = true;
+    bool DeferLongAnswers_ = true;
     /// Assign each refused caller a retry time of its own.
-    bool ScheduleReturns_ = true;
+    bool ScheduleRetries_ = true;
     /// Reserve fast engines for prompts that only they read in time.
-    bool KeepQuick_ = true;
+    bool ReserveFastEngines_ = true;
     // Parts of the algorithm that a benchmark can disable.
     bool StrictTiers_ = true;
     bool FairCustomers_ = true;
@@ -158,7 +158,7 @@
   /// Replaces servers and customers. Running requests of a removed server stay
   /// known until they end.
   void configure(std::vector<ServerCapacity> Servers,
-                 std::map<CustomerName, CustomerShare> Customers,
+                 std::map<CustomerName, CustomerPolicy> Customers,
                  std::uint32_t TierCount, std::size_t MaxWaiting);
   /// Sets the fraction of each server's limit that this keeper may use, from 0
   /// to 1.
@@ -167,11 +167,11 @@
   void setTokensPerEvent(std::int64_t Count) { TokensPerEvent_ = Count; }
   /// Sets the end of the warm-up, during which nothing is granted: a new keeper
   /// must first learn which requests are running.
-  void setWarmUntil(TimePoint Until) { WarmUntil_ = Until; }
-  bool warming(TimePoint Now) const { return Now < WarmUntil_; }
+  void setWarmupEnd(TimePoint Until) { WarmupEnd_ = Until; }
+  bool warming(TimePoint Now) const { return Now < WarmupEnd_; }
 
   /// Queues a request, or refuses it at once.
-  std::vector<Decision> ask(AskedRequest Request, TimePoint Now);
+  std::vector<Decision> requestGrant(GrantRequest Request, TimePoint Now);
   /// Removes a request that no longer waits, or that runs under another keeper.
   void withdraw(const RequestId &Id);
   /// Adds a request that an earlier keeper granted and that still runs.
@@ -183,7 +183,7 @@
   /// Removes the waiting requests of an ingress daemon. \returns their ids.
   std::vector<RequestId> removeWaiting(const VmId &Ingress);
   /// Removes all requests of an ingress daemon. \returns them.
-  EntryRemains removeEntry(const VmId &Ingress);
+  RemovedRequests removeIngressRequests(const VmId &Ingress);
   /// Raises the admission floor after another keeper of the pool shed a request
   /// of \p Tier.
   std::vector<Decision> raiseFloor(TierIndex Tier, TimePoint Until,
@@ -202,14 +202,14 @@
   std::size_t waiting() const { return Waiting_.size(); }
   std::size_t running() const { return Running_.size(); }
   /// \returns how often an engine was examined for a request since the start.
-  std::uint64_t engineLooks() const { return EngineLooks_; }
+  std::uint64_t engineChecks() const { return EngineChecks_; }
   std::optional<RunningRequest> findRunning(const RequestId &Id) const;
   ServerModel *server(const ServerName &Name);
   const std::map<ServerName, ServerModel> &servers() const { return Servers_; }
 
 private:
   /// The earliest time after a grant at which a first event can arrive.
-  static constexpr std::chrono::milliseconds LeastFirstEvent{60};
+  static constexpr std::chrono::milliseconds MinFirstEventDelay{60};
   static constexpr std::size_t RateSlots = 5;
   static constexpr std::chrono::milliseconds RateWindow{1000};
   using DeadlineKey = std::tuple<TimePoint, std::uint64_t, RequestId>;
@@ -217,40 +217,40 @@
   /// each further class up to twice the one before, and the last one is
   /// unbounded. When answer lengths differ a thousandfold, one answer in ten
   /// takes more than eight times the mean of all tiers.
-  using AnswerLength = std::size_t;
-  static constexpr AnswerLength UsualLength = 0;
-  static constexpr std::size_t AnswerLengths = 7;
+  using LengthClass = std::size_t;
+  static constexpr LengthClass UsualLengthClass = 0;
+  static constexpr std::size_t LengthClassCount = 7;
   /// Decay time of a tier's arrivals and grants when computing its share.
-  static constexpr std::chrono::duration<double> TierMemory{30.0};
+  static constexpr std::chrono::duration<double> TierDecayTime{30.0};
   /// Decay time of the arrivals and grants of each answer length. All lengths
   /// are served while load is low: with a longer decay time, long answers would
   /// be starved for that long in the next burst. With a shorter one, a keeper
   /// has too few answers of a length to count, and long answers get more than
   /// their share by chance.
-  static constexpr std::chrono::duration<double> LengthMemory{20.0};
+  static constexpr std::chrono::duration<double> LengthDecayTime{20.0};
   /// A request's position in the order of its tier.
-  struct Standing {
+  struct QueueRank {
     /// Expected time in a slot of an average engine; 0 while unknown.
     std::chrono::nanoseconds Service_{0};
     /// Length class of the answer.
-    AnswerLength Length_ = UsualLength;
+    LengthClass Length_ = UsualLengthClass;
     /// The request may be scheduled after others because of its length.
-    bool PutBack_ = false;
+    bool Deferred_ = false;
     /// No answer can meet the objective any more.
-    bool Late_ = false;
+    bool ObjectiveMissed_ = false;
     /// Requests are served in ascending order of this time.
     TimePoint Urgency_;
   };
   struct WaitingRequest {
-    AskedRequest Asked_;
-    Standing Standing_;
+    GrantRequest Details_;
+    QueueRank Rank_;
     std::uint64_t Arrival_ = 0;
     TimePoint LatestStart_;
     bool Preempting_ = false;
   };
   /// Arrivals and grants, decaying over time.
-  struct FadingShare {
-    std::chrono::duration<double> Memory_ = TierMemory;
+  struct DecayingShare {
+    std::chrono::duration<double> DecayTime_ = TierDecayTime;
     double Arrived_ = 0;
     double Granted_ = 0;
     TimePoint Decayed_;
@@ -258,19 +258,19 @@
     void decay(TimePoint Now);
     /// \returns the fraction of arrivals that were granted, or 1 if there were
     /// too few arrivals.
-    double part() const;
+    double grantedFraction() const;
   };
   struct CustomerQueue {
     double ServedTokens_ = 0; ///< Divided by the customer's weight.
     std::set<DeadlineKey> Requests_;
   };
-  static std::array<FadingShare, AnswerLengths> sharesByLength() {
-    std::array<FadingShare, AnswerLengths> Shares;
-    Shares.fill(FadingShare{.Memory_ = LengthMemory});
+  static std::array<DecayingShare, LengthClassCount> sharesByLength() {
+    std::array<DecayingShare, LengthClassCount> Shares;
+    Shares.fill(DecayingShare{.DecayTime_ = LengthDecayTime});
     return Shares;
   }
   /// Assigns retry times to refused callers of a tier.
-  class ReturnSchedule {
+  class RetrySchedule {
   public:
     /// Reserves the next free retry time, at \p PerSecond of them. \returns the
     /// delay from \p Now, or nothing, without reserving a time, if it exceeds
@@ -287,14 +287,15 @@
     std::size_t Count_ = 0;
     /// The number of queued requests that had missed their objective when they
     /// arrived: they go last.
-    std::size_t LateCount_ = 0;
-    FadingShare Share_;
+    std::size_t ObjectiveMissedCount_ = 0;
+    DecayingShare Share_;
     /// Shares by answer length.
-    std::array<FadingShare, AnswerLengths> ShareByLength_ = sharesByLength();
+    std::array<DecayingShare, LengthClassCount> ShareByLength_ =
+        sharesByLength();
     /// Requests that arrived, and those of them that were queued.
     SlidingCount<RateSlots> RecentArrivals_{RateWindow};
     SlidingCount<RateSlots> RecentAdmitted_{RateWindow};
-    ReturnSchedule Returns_;
+    RetrySchedule RetrySchedule_;
   };
   struct Placement {
     RequestId Id_;
@@ -306,11 +307,11 @@
     static constexpr Tokens Any{std::numeric_limits<std::int64_t>::max()};
     /// The shortest prompt for which no engine had room: a longer one finds
     /// none either.
-    Tokens Unplaceable_ = Any;
+    Tokens MinUnplaceablePrompt_ = Any;
     /// The allowed pause for which the other two members were computed.
     std::chrono::milliseconds Pause_{-1};
     /// The longest prompt that stays within the pause on an idle engine.
-    Tokens LongestKeeping_{0};
+    Tokens MaxPromptWithinPause_{0};
   };
   using RunningMap = std::unordered_map<RequestId, RunningRequest>;
 
@@ -318,14 +319,14 @@
   void enqueue(WaitingRequest Request);
   WaitingRequest dequeue(const RequestId &Id);
   std::size_t queueIndex(TierIndex Tier) const;
-  bool hasServerFor(const AskedRequest &Request) const;
+  bool hasServerFor(const GrantRequest &Request) const;
   void refuseUnservable(std::vector<Decision> &Out);
-  RefuseDecision refusal(const AskedRequest &Request, ResultCode Code);
+  RefuseDecision refusal(const GrantRequest &Request, ResultCode Code);
   std::optional<RequestId> lowestWaiting(TierIndex Above) const;
-  bool makeRoom(TierIndex Tier, std::vector<Decision> &Out);
+  bool shedOneBelow(TierIndex Tier, std::vector<Decision> &Out);
   bool preemptFor(TierIndex Tier, std::vector<Decision> &Out);
-  void shedBelow(TierIndex Tier, std::vector<Decision> &Out);
-  void noteShed(TierIndex Tier, TimePoint Now, std::vector<Decision> &Out);
+  void shedAllBelow(TierIndex Tier, std::vector<Decision> &Out);
+  void handleShed(TierIndex Tier, TimePoint Now, std::vector<Decision> &Out);
   void expire(TimePoint Now, std::vector<Decision> &Out);
   void preemptUrgent(TimePoint Now, std::vector<Decision> &Out);
   void grant(TimePoint Now, std::vector<Decision> &Out);
@@ -333,73 +334,74 @@
                                           TimePoint Now);
   bool grantInOrder(TierQueue &Tier, bool InTime, TimePoint Now,
                     std::vector<Decision> &Out);
-  std::optional<Placement> firstOf(const CustomerQueue &Queue, bool InTime,
-                                   TimePoint Now);
+  std::optional<Placement> firstGrantable(const CustomerQueue &Queue,
+                                          bool InTime, TimePoint Now);
   void grantTo(TierQueue &Tier, const CustomerName &Customer,
                const Placement &Placed, TimePoint Now,
                std::vector<Decision> &Out);
   bool grantFromTier(TierQueue &Tier, TimePoint Now,
                      std::vector<Decision> &Out);
-  bool atCeiling(const CustomerName &Customer) const;
-  ServerModel *choose(const AskedRequest &Request, TimePoint Now);
-  std::optional<PrefixPlace> prefixPlace(const AskedRequest &Request,
-                                         TimePoint Now) const;
-  ServerModel *quickest(const AskedRequest &Request, TimePoint Now,
-                        PrefixPlace Wanted);
-  bool canTake(const AskedRequest &Request, const ServerModel &Server,
+  bool atMaxInFlight(const CustomerName &Customer) const;
+  ServerModel *chooseEngine(const GrantRequest &Request, TimePoint Now);
+  std::optional<PrefixState> preferredPrefixState(const GrantRequest &Request,
+                                                  TimePoint Now) const;
+  ServerModel *chooseFastest(const GrantRequest &Request, TimePoint Now,
+                             PrefixState Wanted);
+  bool canTake(const GrantRequest &Request, const ServerModel &Server,
                TimePoint Now) const;
-  bool keepsPauses(const AskedRequest &Request, const ServerModel &Server,
-                   std::chrono::nanoseconds Longest) const;
-  std::chrono::nanoseconds longestPause(const AskedRequest &Request) const;
-  Tokens longestKeeping(std::chrono::milliseconds Pause) const;
-  bool hasNoRoomAnywhere(const AskedRequest &Request);
-  ServerModel *justQuickEnough(const AskedRequest &Request, TimePoint Now);
-  std::chrono::nanoseconds quickestBetweenTokens() const;
+  bool staysWithinPause(const GrantRequest &Request, const ServerModel &Server,
+                        std::chrono::nanoseconds Longest) const;
+  std::chrono::nanoseconds allowedPause(const GrantRequest &Request) const;
+  Tokens maxPromptWithinPause(std::chrono::milliseconds Pause) const;
+  bool hasNoRoomAnywhere(const GrantRequest &Request);
+  ServerModel *chooseForObjective(const GrantRequest &Request, TimePoint Now);
+  std::chrono::nanoseconds minTimeBetweenTokens() const;
   ServerModel *chooseOfTwo();
-  std::chrono::nanoseconds expectedService(const AskedRequest &Request,
+  std::chrono::nanoseconds expectedService(const GrantRequest &Request,
                                            const ServerModel &Server) const;
-  bool finishesInTime(const AskedRequest &Request, const ServerModel &Server,
+  bool finishesInTime(const GrantRequest &Request, const ServerModel &Server,
                       TimePoint Now) const;
-  bool isDoomed(const AskedRequest &Request, TimePoint Now) const;
-  std::span<const std::uint64_t> prefixOf(const AskedRequest &Request) const;
+  bool isInfeasible(const GrantRequest &Request, TimePoint Now) const;
+  std::span<const std::uint64_t> prefixOf(const GrantRequest &Request) const;
   /// \returns the expected number of generated tokens; 0 while unknown.
-  Tokens expectedAnswer(const AskedRequest &Request) const;
-  bool anySpare() const;
+  Tokens expectedAnswer(const GrantRequest &Request) const;
+  bool anyEngineHasRoom() const;
   /// \returns the expected time on the fastest idle engine, with a margin; 0
   /// while unknown.
-  std::chrono::nanoseconds bestServiceTime(const AskedRequest &Request) const;
+  std::chrono::nanoseconds bestServiceTime(const GrantRequest &Request) const;
   std::chrono::milliseconds retryAfter(TierIndex Tier);
-  std::chrono::milliseconds returnAfter(const AskedRequest &Request,
+  std::chrono::milliseconds returnAfter(const GrantRequest &Request,
                                         TimePoint Now);
-  double freeRate(TierIndex Tier, TimePoint Now);
+  double slotRate(TierIndex Tier, TimePoint Now);
   bool isStarving(TierQueue &Tier, TimePoint Now);
-  double servedPart(TimePoint Now);
+  double grantedFractionOfAll(TimePoint Now);
   std::chrono::milliseconds predictedWait(TierIndex Tier, bool Late,
                                           TimePoint Now);
-  bool wouldWaitTooLong(const AskedRequest &Request, const Standing &Rank,
+  bool wouldWaitTooLong(const GrantRequest &Request, const QueueRank &Rank,
                         TimePoint Now);
-  std::chrono::nanoseconds typicalService(const AskedRequest &Request) const;
-  Standing standingOf(const AskedRequest &Request, TimePoint Now);
-  bool mayPutBack(TierIndex Tier, AnswerLength Length, TimePoint Now);
-  AnswerLength lengthOf(std::chrono::nanoseconds Service) const;
-  static double leastPart(AnswerLength Length);
-  static FadingShare shareOfAll(TierQueue &Tier, TimePoint Now);
-  void noteHold(const ServedSample &Sample);
-  void judgeServers(TimePoint Now);
-  void judge(ServerModel &Server, const ServedSample &Sample, TimePoint Now);
+  std::chrono::nanoseconds averageService(const GrantRequest &Request) const;
+  QueueRank rankOf(const GrantRequest &Request, TimePoint Now);
+  bool mayDefer(TierIndex Tier, LengthClass Length, TimePoint Now);
+  LengthClass lengthClassOf(std::chrono::nanoseconds Service) const;
+  static double minGrantedFraction(LengthClass Length);
+  static DecayingShare combinedShare(TierQueue &Tier, TimePoint Now);
+  void recordSlotTime(const ServedSample &Sample);
+  void applyHealth(TimePoint Now);
+  void recordOutcome(ServerModel &Server, const ServedSample &Sample,
+                     TimePoint Now);
   double poolFailureRate() const;
   void grantStarving(TimePoint Now, std::vector<Decision> &Out);
   void serve(const WaitingRequest &Request, ServerModel &Server,
              std::vector<Decision> &Out);
   RunningMap::iterator endRunning(RunningMap::iterator Item);
-  ServerModel *runningAt(const RunningRequest &Request);
+  ServerModel *runningServer(const RunningRequest &Request);
   double weightOf(const CustomerName &Customer) const;
 
   Options Options_;
   std::map<ServerName, ServerModel> Servers_;
   /// The speed of the pool's engines, learned from all of them together.
-  EngineSpeed Typical_;
-  std::map<CustomerName, CustomerShare> Shares_;
+  EngineSpeed PoolSpeed_;
+  std::map<CustomerName, CustomerPolicy> CustomerPolicies_;
   std::vector<TierQueue> Tiers_;
   std::unordered_map<RequestId, WaitingRequest> Waiting_;
   std::set<std::pair<TimePoint, RequestId>> ByLatestStart_;
@@ -411,15 +413,15 @@
   double Share_ = 1.0;
   std::int64_t TokensPerEvent_ = 1;
   Round Round_;
-  std::uint64_t EngineLooks_ = 0;
-  TimePoint WarmUntil_;
+  std::uint64_t EngineChecks_ = 0;
+  TimePoint WarmupEnd_;
   std::optional<TierIndex> Floor_;
   TimePoint FloorUntil_;
   std::uint64_t NextArrival_ = 0;
   double EndsPerSecond_ = 0;
   SlidingCount<RateSlots> Ends_{RateWindow};
   /// The mean time for which a granted request occupies its slot.
-  std::chrono::nanoseconds MeanHold_{0};
+  std::chrono::nanoseconds MeanSlotTime_{0};
   TimePoint LastEnd_;
   pcg32 Random_;
 };
--- a/Source/Process/Scheduling/SchedulerAdmission.cpp
+++ b/Source/Process/Scheduling/SchedulerAdmission.cpp
@@ -35,15 +35,16 @@
 
 } // namespace
 
-void Scheduler::FadingShare::decay(TimePoint Now) {
+void Scheduler::DecayingShare::decay(TimePoint Now) {
   std::chrono::duration<double> Elapsed = Now - Decayed_;
-  double DecayFactor = std::max(0.0, 1.0 - Elapsed.count() / Memory_.count());
+  double DecayFactor =
+      std::max(0.0, 1.0 - Elapsed.count() / DecayTime_.count());
   Decayed_ = Now;
   Arrived_ *= DecayFactor;
   Granted_ *= DecayFactor;
 }
 
-double Scheduler::FadingShare::part() const {
+double Scheduler::DecayingShare::grantedFraction() const {
   return Arrived_ < MinArrivals ? 1.0 : Granted_ / Arrived_;
 }
 
@@ -51,23 +52,24 @@
   if (Options_.GuaranteedShare_ <= 0 || Tier.Count_ == 0)
     return false;
   Tier.Share_.decay(Now);
-  return Tier.Share_.part() < Options_.GuaranteedShare_ * servedPart(Now);
+  return Tier.Share_.grantedFraction() <
+         Options_.GuaranteedShare_ * grantedFractionOfAll(Now);
 }
 
 /// \returns the fraction of all tiers' arrivals that was granted.
-double Scheduler::servedPart(TimePoint Now) {
-  FadingShare All;
+double Scheduler::grantedFractionOfAll(TimePoint Now) {
+  DecayingShare All;
   for (TierQueue &Tier : Tiers_) {
     Tier.Share_.decay(Now);
     All.Arrived_ += Tier.Share_.Arrived_;
     All.Granted_ += Tier.Share_.Granted_;
   }
-  return std::min(1.0, All.part());
+  return std::min(1.0, All.grantedFraction());
 }
 
 /// \returns the number of slots that become free each second and that higher
 /// tiers will not use again; 0 while too little is known.
-double Scheduler::freeRate(TierIndex Tier, TimePoint Now) {
+double Scheduler::slotRate(TierIndex Tier, TimePoint Now) {
   double Ends = Ends_.sum(Now);
   if (Ends < MinEnds)
     return 0;
@@ -90,16 +92,16 @@
                                       TimePoint Now) {
   std::size_t Own = queueIndex(Tier);
   std::size_t OwnAhead = Tiers_[Own].Count_;
-  if (!Late && Options_.CountLateApart_)
-    OwnAhead -= Tiers_[Own].LateCount_;
+  if (!Late && Options_.CountMissedSeparately_)
+    OwnAhead -= Tiers_[Own].ObjectiveMissedCount_;
   auto Ahead = static_cast<double>(OwnAhead);
   for (const TierQueue &Queue : std::span(Tiers_).first(Own))
     Ahead += static_cast<double>(Queue.Count_);
-  double SlotRate = freeRate(Tier, Now);
+  double SlotRate = slotRate(Tier, Now);
   if (Ahead == 0 || SlotRate == 0)
     return milliseconds(0);
   double Seconds = Ahead / SlotRate;
-  double Guaranteed = Options_.GuaranteedShare_ * servedPart(Now) *
+  double Guaranteed = Options_.GuaranteedShare_ * grantedFractionOfAll(Now) *
                       Tiers_[Own].RecentArrivals_.sum(Now);
   if (Guaranteed > 0)
     Seconds = std::min(Seconds, static_cast<double>(OwnAhead) / Guaranteed);
@@ -108,8 +110,8 @@
 }
 
 std::optional<milliseconds>
-Scheduler::ReturnSchedule::next(TimePoint Now, double PerSecond,
-                                milliseconds MaxDelay) {
+Scheduler::RetrySchedule::next(TimePoint Now, double PerSecond,
+                               milliseconds MaxDelay) {
   std::chrono::duration<double> Interval(1.0 / PerSecond);
   TimePoint NextFree =
       std::max(Next_, Now) +
@@ -129,34 +131,34 @@
 /// would otherwise grow to minutes and stay there after its end. When no such
 /// time is left, the delay is random within that limit, since no time in it is
 /// better than another.
-milliseconds Scheduler::returnAfter(const AskedRequest &Request,
+milliseconds Scheduler::returnAfter(const GrantRequest &Request,
                                     TimePoint Now) {
   TierIndex Tier = Request.Tier_;
-  double SlotRate = freeRate(Tier, Now);
-  if (SlotRate == 0 || !Options_.ScheduleReturns_)
+  double SlotRate = slotRate(Tier, Now);
+  if (SlotRate == 0 || !Options_.ScheduleRetries_)
     return retryAfter(Tier);
   auto TimeLeft =
       std::chrono::duration_cast<milliseconds>(Request.Deadline_ - Now);
   milliseconds MaxDelay =
       std::max(milliseconds(1), TimeLeft / RetryTimeDivisor);
-  auto RetryDelay = Tiers_[queueIndex(Tier)].Returns_.next(
+  auto RetryDelay = Tiers_[queueIndex(Tier)].RetrySchedule_.next(
       Now, RetryFraction * SlotRate, MaxDelay);
   if (!RetryDelay)
     return milliseconds(Random_(static_cast<std::uint32_t>(MaxDelay.count())));
   return std::clamp(predictedWait(Tier, true, Now), *RetryDelay, MaxDelay);
 }
 
-void Scheduler::noteHold(const ServedSample &Sample) {
+void Scheduler::recordSlotTime(const ServedSample &Sample) {
   constexpr std::int64_t SmoothingDivisor = 50;
   nanoseconds SlotTime = Sample.Duration_;
-  MeanHold_ += MeanHold_.count() == 0
-                   ? SlotTime
-                   : (SlotTime - MeanHold_) / SmoothingDivisor;
+  MeanSlotTime_ += MeanSlotTime_.count() == 0
+                       ? SlotTime
+                       : (SlotTime - MeanSlotTime_) / SmoothingDivisor;
 }
 
 /// \returns how long the request would occupy a slot of an average engine; 0
 /// while unknown.
-nanoseconds Scheduler::typicalService(const AskedRequest &Request) const {
+nanoseconds Scheduler::averageService(const GrantRequest &Request) const {
   nanoseconds Sum{0};
   std::int64_t Known = 0;
   for (const auto &[Name, Server] : Servers_) {
@@ -171,36 +173,37 @@
 /// ordered by the time at which their answers are wanted. When answer lengths
 /// differ a hundredfold, the longest fifth occupies most of the slots for a
 /// fifth of the callers, so under load long answers are deferred.
-Scheduler::Standing Scheduler::standingOf(const AskedRequest &Request,
-                                          TimePoint Now) {
-  Standing Rank;
+Scheduler::QueueRank Scheduler::rankOf(const GrantRequest &Request,
+                                       TimePoint Now) {
+  QueueRank Rank;
   if (Request.Objective_ == TimePoint()) {
     Rank.Urgency_ = Request.Deadline_;
     return Rank;
   }
-  Rank.Late_ = Request.Objective_ < Now + LeastFirstEvent;
-  Rank.Service_ = typicalService(Request);
-  Rank.Length_ = lengthOf(Rank.Service_);
-  Rank.PutBack_ = mayPutBack(Request.Tier_, Rank.Length_, Now);
+  Rank.ObjectiveMissed_ = Request.Objective_ < Now + MinFirstEventDelay;
+  Rank.Service_ = averageService(Request);
+  Rank.Length_ = lengthClassOf(Rank.Service_);
+  Rank.Deferred_ = mayDefer(Request.Tier_, Rank.Length_, Now);
   Rank.Urgency_ = Request.Objective_;
-  if (Rank.PutBack_)
+  if (Rank.Deferred_)
     Rank.Urgency_ +=
         std::chrono::duration_cast<TimePoint::duration>(Rank.Service_);
   return Rank;
 }
 
-Scheduler::AnswerLength Scheduler::lengthOf(nanoseconds Service) const {
-  if (MeanHold_.count() == 0 || Service <= MeanHold_)
-    return UsualLength;
-  auto Means = static_cast<std::uint64_t>(Service / MeanHold_);
-  return std::min<AnswerLength>(std::bit_width(Means), AnswerLengths - 1);
+Scheduler::LengthClass Scheduler::lengthClassOf(nanoseconds Service) const {
+  if (MeanSlotTime_.count() == 0 || Service <= MeanSlotTime_)
+    return UsualLengthClass;
+  auto Means = static_cast<std::uint64_t>(Service / MeanSlotTime_);
+  return std::min<LengthClass>(std::bit_width(Means), LengthClassCount - 1);
 }
 
 /// \returns the share of all answer lengths of a tier together, with the same
 /// decay time as the share of each length.
-Scheduler::FadingShare Scheduler::shareOfAll(TierQueue &Tier, TimePoint Now) {
-  FadingShare All{.Memory_ = LengthMemory};
-  for (FadingShare &OfLength : Tier.ShareByLength_) {
+Scheduler::DecayingShare Scheduler::combinedShare(TierQueue &Tier,
+                                                  TimePoint Now) {
+  DecayingShare All{.DecayTime_ = LengthDecayTime};
+  for (DecayingShare &OfLength : Tier.ShareByLength_) {
     OfLength.decay(Now);
     All.Arrived_ += OfLength.Arrived_;
     All.Granted_ += OfLength.Granted_;
@@ -214,7 +217,7 @@
 /// the longest are spread over two classes and served less often than either. A
 /// much higher rate would cost too many short answers, many of which fit in the
 /// place of a single long one.
-double Scheduler::leastPart(AnswerLength Length) {
+double Scheduler::minGrantedFraction(LengthClass Length) {
   constexpr double BaseFraction = 0.55;
   constexpr double FractionPerClass = 0.02;
   return BaseFraction + FractionPerClass * static_cast<double>(Length);
@@ -227,34 +230,36 @@
 /// (211) of requests with long estimates in a tier of which most requests are
 /// answered. With a count for each class, no class makes up for another; the
 /// slots come from the same tier, never from a higher one.
-bool Scheduler::mayPutBack(TierIndex Tier, AnswerLength Length, TimePoint Now) {
-  if (Length == UsualLength || !Options_.PutLongBack_)
+bool Scheduler::mayDefer(TierIndex Tier, LengthClass Length, TimePoint Now) {
+  if (Length == UsualLengthClass || !Options_.DeferLongAnswers_)
     return false;
   TierQueue &Own = Tiers_[queueIndex(Tier)];
-  double GrantedOfAll = shareOfAll(Own, Now).part();
-  return Own.ShareByLength_[Length].part() >= leastPart(Length) * GrantedOfAll;
+  double GrantedOfAll = combinedShare(Own, Now).grantedFraction();
+  return Own.ShareByLength_[Length].grantedFraction() >=
+         minGrantedFraction(Length) * GrantedOfAll;
 }
 
 /// \returns whether to refuse a request immediately that would otherwise be
 /// refused after a long wait. A request whose long answer is deferred is
 /// refused after a shorter predicted wait.
-bool Scheduler::wouldWaitTooLong(const AskedRequest &Request,
-                                 const Standing &Rank, TimePoint Now) {
+bool Scheduler::wouldWaitTooLong(const GrantRequest &Request,
+                                 const QueueRank &Rank, TimePoint Now) {
   if (!Options_.RefuseLongWaits_ || Request.MaxWait_.count() == 0)
     return false;
   constexpr double MinFraction = 0.1;
   double Fraction = 1;
-  if (Rank.PutBack_)
+  if (Rank.Deferred_)
     Fraction =
-        std::max(MinFraction, static_cast<double>(MeanHold_.count()) /
+        std::max(MinFraction, static_cast<double>(MeanSlotTime_.count()) /
                                   static_cast<double>(Rank.Service_.count()));
   std::chrono::duration<double, std::milli> MaxWait = Request.MaxWait_;
-  return predictedWait(Request.Tier_, Rank.Late_, Now) > MaxWait * Fraction;
+  return predictedWait(Request.Tier_, Rank.ObjectiveMissed_, Now) >
+         MaxWait * Fraction;
 }
 
 /// Excludes engines that fail their requests, unless that would leave too few:
 /// the others would be overloaded.
-void Scheduler::judgeServers(TimePoint Now) {
+void Scheduler::applyHealth(TimePoint Now) {
   auto IsExcluded = [&](const auto &Item) {
     return Item.second.health().leftOut(Now);
   };
@@ -273,8 +278,8 @@
   return Servers_.empty() ? 0 : Sum / static_cast<double>(Servers_.size());
 }
 
-void Scheduler::judge(ServerModel &Server, const ServedSample &Sample,
-                      TimePoint Now) {
+void Scheduler::recordOutcome(ServerModel &Server, const ServedSample &Sample,
+                              TimePoint Now) {
   if (Sample.Replaced_)
     Server.markReplaced();
   else if (Sample.Complete_)
--- a/Source/Process/Scheduling/SchedulerPlacement.cpp
+++ b/Source/Process/Scheduling/SchedulerPlacement.cpp
@@ -33,15 +33,16 @@
 } // namespace
 
 std::span<const std::uint64_t>
-Scheduler::prefixOf(const AskedRequest &Request) const {
+Scheduler::prefixOf(const GrantRequest &Request) const {
   if (!Options_.UsePrefixes_)
     return {};
   return Request.Prefix_;
 }
 
-Tokens Scheduler::expectedAnswer(const AskedRequest &Request) const {
-  if (Request.Guessed_.count() > 0)
-    return std::min(Request.Guessed_, std::max(Request.Answer_, Tokens(1)));
+Tokens Scheduler::expectedAnswer(const GrantRequest &Request) const {
+  if (Request.EstimatedAnswer_.count() > 0)
+    return std::min(Request.EstimatedAnswer_,
+                    std::max(Request.Answer_, Tokens(1)));
   auto Share = AnswerShare_.find(Request.Customer_);
   if (Share == AnswerShare_.end())
     return Tokens(0);
@@ -49,17 +50,17 @@
   return Tokens(static_cast<std::int64_t>(Count));
 }
 
-nanoseconds Scheduler::expectedService(const AskedRequest &Request,
+nanoseconds Scheduler::expectedService(const GrantRequest &Request,
                                        const ServerModel &Server) const {
-  if (Server.betweenTokens().count() == 0)
+  if (Server.timeBetweenTokens().count() == 0)
     return nanoseconds(0);
   return Server.expectedFirstToken(Request.Prompt_, prefixOf(Request)) +
-         Server.betweenTokens() * expectedAnswer(Request).count();
+         Server.timeBetweenTokens() * expectedAnswer(Request).count();
 }
 
 /// \returns whether the engine can finish the request by its deadline. If it
 /// can't, the prefill there would be wasted; another engine may be faster.
-bool Scheduler::finishesInTime(const AskedRequest &Request,
+bool Scheduler::finishesInTime(const GrantRequest &Request,
                                const ServerModel &Server, TimePoint Now) const {
   auto Service = expectedService(Request, Server);
   if (!Options_.RefuseInfeasible_ || Service.count() == 0)
@@ -68,24 +69,25 @@
 }
 
 /// True if not even an idle engine could finish the request in time.
-bool Scheduler::isDoomed(const AskedRequest &Request, TimePoint Now) const {
+bool Scheduler::isInfeasible(const GrantRequest &Request, TimePoint Now) const {
   auto Service = bestServiceTime(Request);
   return Options_.RefuseInfeasible_ && Service.count() > 0 &&
          Now + Service > Request.Deadline_;
 }
 
-ServerModel *Scheduler::choose(const AskedRequest &Request, TimePoint Now) {
+ServerModel *Scheduler::chooseEngine(const GrantRequest &Request,
+                                     TimePoint Now) {
   if (Options_.TwoChoices_)
     return chooseOfTwo();
   if (Request.Objective_ != TimePoint())
-    return justQuickEnough(Request, Now);
-  if (auto Wanted = prefixPlace(Request, Now))
-    return quickest(Request, Now, *Wanted);
-  return quickest(Request, Now, PrefixPlace::Elsewhere);
+    return chooseForObjective(Request, Now);
+  if (auto Wanted = preferredPrefixState(Request, Now))
+    return chooseFastest(Request, Now, *Wanted);
+  return chooseFastest(Request, Now, PrefixState::NotCached);
 }
 
 /// True if the engine can take the request now.
-bool Scheduler::canTake(const AskedRequest &Request, const ServerModel &Server,
+bool Scheduler::canTake(const GrantRequest &Request, const ServerModel &Server,
                         TimePoint Now) const {
   bool Excluded =
       std::ranges::count(Request.Excluded_, Server.capacity().Name_) > 0;
@@ -94,15 +96,15 @@
 }
 
 /// The longest prompt that stays within the pause on an idle engine.
-Tokens Scheduler::longestKeeping(std::chrono::milliseconds Pause) const {
-  if (!Options_.KeepPauses_ || Pause.count() == 0)
+Tokens Scheduler::maxPromptWithinPause(std::chrono::milliseconds Pause) const {
+  if (!Options_.LimitPauses_ || Pause.count() == 0)
     return Round::Any;
   Tokens Longest{0};
   for (const auto &[Name, Server] : Servers_)
     if (Server.usable())
-      Longest =
-          std::max(Longest, Server.readable(Pause - Server.betweenTokens() *
-                                                        TokensPerEvent_));
+      Longest = std::max(
+          Longest, Server.longestPromptWithin(
+                       Pause - Server.timeBetweenTokens() * TokensPerEvent_));
   return Longest;
 }
 
@@ -113,30 +115,31 @@
 /// it in that state long after the burst. A prompt whose beginning is cached
 /// may need less room than a shorter one; such a request then waits for the
 /// next round.
-bool Scheduler::hasNoRoomAnywhere(const AskedRequest &Request) {
+bool Scheduler::hasNoRoomAnywhere(const GrantRequest &Request) {
   if (Round_.Pause_ != Request.MaxPause_) {
     Round_ = Round();
     Round_.Pause_ = Request.MaxPause_;
-    Round_.LongestKeeping_ = longestKeeping(Request.MaxPause_);
+    Round_.MaxPromptWithinPause_ = maxPromptWithinPause(Request.MaxPause_);
   }
-  return Request.Prompt_ >= Round_.Unplaceable_ &&
-         Request.Prompt_ <= Round_.LongestKeeping_;
+  return Request.Prompt_ >= Round_.MinUnplaceablePrompt_ &&
+         Request.Prompt_ <= Round_.MaxPromptWithinPause_;
 }
 
 /// \returns the longest pause between events that the prompt may cause. This is
 /// the pause with which answers still meet their objective or, for a prompt so
 /// long that it exceeds that pause everywhere, a multiple of the smallest pause
 /// that it causes on any engine.
-nanoseconds Scheduler::longestPause(const AskedRequest &Request) const {
-  if (!Options_.KeepPauses_ || Request.MaxPause_.count() == 0)
+nanoseconds Scheduler::allowedPause(const GrantRequest &Request) const {
+  if (!Options_.LimitPauses_ || Request.MaxPause_.count() == 0)
     return nanoseconds::max();
-  if (Request.Prompt_ <= Round_.LongestKeeping_)
+  if (Request.Prompt_ <= Round_.MaxPromptWithinPause_)
     return Request.MaxPause_;
   nanoseconds MinPause = nanoseconds::max();
   for (const auto &[Name, Server] : Servers_)
     if (Server.usable())
-      MinPause = std::min(MinPause, Server.betweenTokens() * TokensPerEvent_ +
-                                        Server.reading(Request.Prompt_));
+      MinPause =
+          std::min(MinPause, Server.timeBetweenTokens() * TokensPerEvent_ +
+                                 Server.readingTime(Request.Prompt_));
   if (MinPause == nanoseconds::max())
     return Request.MaxPause_;
   return MinPause * UnavoidableFactor;
@@ -151,13 +154,13 @@
 /// event of a long prompt may still exceed the allowed pauses of the other
 /// requests: without this check, one in ten answers whose caller accepts 250 ms
 /// had a longer pause on slow engines, even under low load.
-bool Scheduler::keepsPauses(const AskedRequest &Request,
-                            const ServerModel &Server,
-                            nanoseconds Longest) const {
+bool Scheduler::staysWithinPause(const GrantRequest &Request,
+                                 const ServerModel &Server,
+                                 nanoseconds Longest) const {
   if (Longest == nanoseconds::max() || Server.inFlight() == 0)
     return true;
-  nanoseconds Event = Server.betweenTokens() * TokensPerEvent_;
-  return Event + Server.readingWith(Request.Prompt_, prefixOf(Request)) <=
+  nanoseconds Event = Server.timeBetweenTokens() * TokensPerEvent_;
+  return Event + Server.readingTimeWith(Request.Prompt_, prefixOf(Request)) <=
          Longest;
 }
 
@@ -165,31 +168,32 @@
 /// the objective. An engine that is not among the fast ones is preferred,
 /// because those are reserved for long prompts that only they read in time. Of
 /// several engines, the one that is expected to answer first is selected.
-ServerModel *Scheduler::justQuickEnough(const AskedRequest &Request,
-                                        TimePoint Now) {
+ServerModel *Scheduler::chooseForObjective(const GrantRequest &Request,
+                                           TimePoint Now) {
   if (hasNoRoomAnywhere(Request))
     return nullptr;
-  EngineLooks_ += Servers_.size();
+  EngineChecks_ += Servers_.size();
   auto Prefix = prefixOf(Request);
-  nanoseconds MinBetweenTokens = quickestBetweenTokens();
+  nanoseconds MinBetweenTokens = minTimeBetweenTokens();
   nanoseconds Budget = OverdueBudget;
-  if (Request.Objective_ > Now + LeastFirstEvent)
+  if (Request.Objective_ > Now + MinFirstEventDelay)
     Budget = std::chrono::duration_cast<nanoseconds>(
-        (Request.Objective_ - Now) * Options_.ObjectivePart_);
+        (Request.Objective_ - Now) * Options_.FirstEventFraction_);
   bool AnyRoom = false;
-  nanoseconds Pause = longestPause(Request);
+  nanoseconds Pause = allowedPause(Request);
   ServerModel *Best = nullptr;
   auto BestScore = std::tuple(true, true, nanoseconds::max(), 0U);
   for (auto &[Name, Server] : Servers_) {
-    if (!Server.hasRoom(Share_) || !keepsPauses(Request, Server, Pause))
+    if (!Server.hasRoom(Share_) || !staysWithinPause(Request, Server, Pause))
       continue;
     AnyRoom = true;
     if (!canTake(Request, Server, Now))
       continue;
     auto FirstToken = Server.expectedFirstToken(Request.Prompt_, Prefix);
     bool ExceedsBudget = FirstToken > Budget;
-    bool Fast = Options_.KeepQuick_ && Server.betweenTokens() * FastDivisor <
-                                           MinBetweenTokens * FastFactor;
+    bool Fast = Options_.ReserveFastEngines_ &&
+                Server.timeBetweenTokens() * FastDivisor <
+                    MinBetweenTokens * FastFactor;
     auto Score = std::tuple(ExceedsBudget, !ExceedsBudget && Fast, FirstToken,
                             Server.inFlight());
     if (Best && Score >= BestScore)
@@ -198,14 +202,15 @@
     BestScore = Score;
   }
   if (!AnyRoom)
-    Round_.Unplaceable_ = std::min(Round_.Unplaceable_, Request.Prompt_);
+    Round_.MinUnplaceablePrompt_ =
+        std::min(Round_.MinUnplaceablePrompt_, Request.Prompt_);
   return Best;
 }
 
-nanoseconds Scheduler::quickestBetweenTokens() const {
+nanoseconds Scheduler::minTimeBetweenTokens() const {
   nanoseconds MinBetweenTokens{0};
   for (const auto &[Name, Server] : Servers_) {
-    nanoseconds Between = Server.betweenTokens();
+    nanoseconds Between = Server.timeBetweenTokens();
     if (Server.usable() && Between.count() > 0 &&
         (MinBetweenTokens.count() == 0 || Between < MinBetweenTokens))
       MinBetweenTokens = Between;
@@ -218,19 +223,20 @@
 /// full cache, evict blocks of another prompt, which would then have to be read
 /// again in turn. While there is time, the request therefore waits for an
 /// engine that has cached its beginning or is reading it.
-std::optional<PrefixPlace> Scheduler::prefixPlace(const AskedRequest &Request,
-                                                  TimePoint Now) const {
+std::optional<PrefixState>
+Scheduler::preferredPrefixState(const GrantRequest &Request,
+                                TimePoint Now) const {
   // A request with an objective has no time to spare: the engine that has its
   // prompt is preferred only through its expected time.
   if (Request.Objective_ != TimePoint())
     return std::nullopt;
   auto Prefix = prefixOf(Request);
-  auto Best = PrefixPlace::Elsewhere;
+  auto Best = PrefixState::NotCached;
   bool HasTime = false;
   for (const auto &[Name, Server] : Servers_) {
     auto Place =
-        Server.usable() ? Server.placeOf(Prefix) : PrefixPlace::Elsewhere;
-    if (Place == PrefixPlace::Elsewhere || Place < Best)
+        Server.usable() ? Server.prefixState(Prefix) : PrefixState::NotCached;
+    if (Place == PrefixState::NotCached || Place < Best)
       continue;
     Best = Place;
     auto Service = withMargin(expectedService(Request, Server));
@@ -240,25 +246,25 @@
 }
 
 /// Selects the engine with room that is expected to answer first. If \p Wanted
-/// is PrefixPlace::Cached, only engines that have cached the prompt's beginning
-/// are considered. If it is PrefixPlace::InProgress, none is selected and the
+/// is PrefixState::Cached, only engines that have cached the prompt's beginning
+/// are considered. If it is PrefixState::InProgress, none is selected and the
 /// request waits.
-ServerModel *Scheduler::quickest(const AskedRequest &Request, TimePoint Now,
-                                 PrefixPlace Wanted) {
+ServerModel *Scheduler::chooseFastest(const GrantRequest &Request,
+                                      TimePoint Now, PrefixState Wanted) {
   ServerModel *Best = nullptr;
   auto BestScore = std::tuple(nanoseconds::max(), 0U);
   auto Prefix = prefixOf(Request);
-  if (Wanted == PrefixPlace::InProgress)
+  if (Wanted == PrefixState::InProgress)
     return nullptr;
   for (auto &[Name, Server] : Servers_) {
     if (!canTake(Request, Server, Now))
       continue;
-    if (Wanted == PrefixPlace::Cached && Server.placeOf(Prefix) != Wanted)
+    if (Wanted == PrefixState::Cached && Server.prefixState(Prefix) != Wanted)
       continue;
     auto Time = Server.expectedFirstToken(Request.Prompt_, Prefix) +
                 Server.evictionCost(Request.Prompt_, Prefix);
     if (Options_.UseSpeeds_)
-      Time += Server.betweenTokens() * expectedAnswer(Request).count();
+      Time += Server.timeBetweenTokens() * expectedAnswer(Request).count();
     auto Score = std::tuple(Time, Server.inFlight());
     if (Best && Score >= BestScore)
       continue;
@@ -281,7 +287,7 @@
   return First->reportedLoad() <= Second->reportedLoad() ? First : Second;
 }
 
-nanoseconds Scheduler::bestServiceTime(const AskedRequest &Request) const {
+nanoseconds Scheduler::bestServiceTime(const GrantRequest &Request) const {
   nanoseconds Best = nanoseconds::max();
   for (const auto &[Name, Server] : Servers_)
     if (Server.usable())
@@ -294,17 +300,18 @@
 /// \returns the first request that an engine with room can take. With \p
 /// InTime, only requests that can still meet their objective are considered.
 std::optional<Scheduler::Placement>
-Scheduler::firstOf(const CustomerQueue &Queue, bool InTime, TimePoint Now) {
+Scheduler::firstGrantable(const CustomerQueue &Queue, bool InTime,
+                          TimePoint Now) {
   // A few requests are checked one by one: the first may wait for its own
   // engine while others could be served.
   constexpr int MaxChecked = 8;
   int Checked = 0;
   for (const DeadlineKey &Key : Queue.Requests_) {
     RequestId Id = std::get<RequestId>(Key);
-    const AskedRequest &Details = Waiting_.at(Id).Asked_;
-    if (InTime && Details.Objective_ < Now + LeastFirstEvent)
+    const GrantRequest &Details = Waiting_.at(Id).Details_;
+    if (InTime && Details.Objective_ < Now + MinFirstEventDelay)
       continue;
-    if (ServerModel *Server = choose(Details, Now))
+    if (ServerModel *Server = chooseEngine(Details, Now))
       return Placement{Id, Server};
     if (!Options_.UsePrefixes_ || ++Checked == MaxChecked)
       break;
@@ -317,10 +324,10 @@
 /// without a further search, slow engines would be idle while it waits.
 std::optional<Scheduler::Placement>
 Scheduler::firstPlaceable(const CustomerQueue &Queue, TimePoint Now) {
-  if (auto First = firstOf(Queue, false, Now))
+  if (auto First = firstGrantable(Queue, false, Now))
     return First;
   RequestId Head = std::get<RequestId>(*Queue.Requests_.begin());
-  const AskedRequest &Details = Waiting_.at(Head).Asked_;
+  const GrantRequest &Details = Waiting_.at(Head).Details_;
   if (!Options_.RefuseInfeasible_)
     return std::nullopt;
   nanoseconds Soonest = nanoseconds::max();
@@ -334,7 +341,7 @@
   if (Later == Queue.Requests_.end())
     return std::nullopt;
   RequestId Id = std::get<RequestId>(*Later);
-  ServerModel *Server = choose(Waiting_.at(Id).Asked_, Now);
+  ServerModel *Server = chooseEngine(Waiting_.at(Id).Details_, Now);
   return Server ? std::optional(Placement{Id, Server}) : std::nullopt;
 }
 
--- a/Source/Process/Scheduling/ServerModel.cpp
+++ b/Source/Process/Scheduling/ServerModel.cpp
@@ -82,31 +82,31 @@
   // may then together exceed the limit by at most one each.
   double Limit = OnTrial_ ? 1.0 : std::floor(Limit_ * Share);
   return usable() && inFlight() < std::max(1.0, Limit) &&
-         unreadTime() < MaxUnreadTime;
+         pendingReadingTime() < MaxUnreadTime;
 }
 
 void ServerModel::start(const RequestId &Id, Tokens Prompt,
                         std::span<const std::uint64_t> Prefix) {
   PrefillWork Added;
-  Added.HadPlace_ = inFlight() < places();
+  Added.HadSlot_ = inFlight() < slots();
   InFlight_.insert(Id);
   Added.Own_ = uncached(Prompt, Prefix);
   PendingPrefill_ += Added.Own_;
-  Added.WithThoseAhead_ = PendingPrefill_;
+  Added.WithPending_ = PendingPrefill_;
   Added.Prefix_.assign(Prefix.begin(), Prefix.end());
   for (std::uint64_t Block : Prefix)
     ++InProgress_[Block];
   Prefilling_[Id] = std::move(Added);
 }
 
-std::uint32_t ServerModel::places() const {
-  return std::max(1U, Limit_ - std::min(Limit_, Capacity_.Ahead_));
+std::uint32_t ServerModel::slots() const {
+  return std::max(1U, Limit_ - std::min(Limit_, Capacity_.QueuedInEngine_));
 }
 
-nanoseconds ServerModel::waitForPlace() const {
-  if (inFlight() < places())
+nanoseconds ServerModel::waitForSlot() const {
+  if (inFlight() < slots())
     return nanoseconds(0);
-  return Duration_ / places() * (inFlight() - places() + 1);
+  return Duration_ / slots() * (inFlight() - slots() + 1);
 }
 
 void ServerModel::firstToken(const RequestId &Id,
@@ -116,9 +116,9 @@
   if (Found == Prefilling_.end())
     return;
   const PrefillWork &Done = Found->second;
-  if (Done.HadPlace_) {
-    Speed_.firstToken(Done.WithThoseAhead_, Sample.Delay_);
-    Typical.firstToken(Done.WithThoseAhead_, Sample.Delay_);
+  if (Done.HadSlot_) {
+    Speed_.firstToken(Done.WithPending_, Sample.Delay_);
+    Typical.firstToken(Done.WithPending_, Sample.Delay_);
   }
   Prefixes_.insert(Done.Prefix_);
   endPrefill(Id);
@@ -139,25 +139,27 @@
   endPrefill(Id);
 }
 
-PrefixPlace ServerModel::placeOf(std::span<const std::uint64_t> Prefix) const {
+PrefixState
+ServerModel::prefixState(std::span<const std::uint64_t> Prefix) const {
   if (Prefix.size() < MinLongPrefixBlocks)
-    return PrefixPlace::Elsewhere;
+    return PrefixState::NotCached;
   std::size_t Half = Prefix.size() / 2;
   if (Prefixes_.cachedBlocks(Prefix) >= Half)
-    return PrefixPlace::Cached;
+    return PrefixState::Cached;
   bool InProgress =
       std::ranges::all_of(Prefix.first(Half), [this](std::uint64_t Block) {
         return InProgress_.contains(Block) || Prefixes_.contains(Block);
       });
-  return InProgress ? PrefixPlace::InProgress : PrefixPlace::Elsewhere;
+  return InProgress ? PrefixState::InProgress : PrefixState::NotCached;
 }
 
-void ServerModel::learn(const ServedSample &Sample, EngineSpeed &Typical) {
+void ServerModel::recordServed(const ServedSample &Sample,
+                               EngineSpeed &Typical) {
   if (!Sample.Complete_)
     return;
   Duration_ = blend(Duration_, nanoseconds(Sample.Duration_));
   auto Streaming = nanoseconds(Sample.Duration_ - Sample.FirstToken_);
-  Tokens AfterFirst = Sample.Generated_ - Sample.AtOnce_;
+  Tokens AfterFirst = Sample.Generated_ - Sample.FirstEventTokens_;
   Speed_.stream(AfterFirst, Streaming);
   Typical.stream(AfterFirst, Streaming);
 }
@@ -174,14 +176,14 @@
                           std::span<const std::uint64_t> Prefix) const {
   if (Prefix.size() < MinLongPrefixBlocks || !Prefixes_.full())
     return nanoseconds(0);
-  return EvictedWorkFactor * Speed_.reading(uncached(Prompt, Prefix));
+  return EvictedWorkFactor * Speed_.readingTime(uncached(Prompt, Prefix));
 }
 
 nanoseconds
 ServerModel::expectedFirstToken(Tokens Prompt,
                                 std::span<const std::uint64_t> Prefix) const {
   Tokens Unread = PendingPrefill_ + uncached(Prompt, Prefix);
-  return waitForPlace() + Speed_.untilFirstToken(Unread);
+  return waitForSlot() + Speed_.timeToFirstToken(Unread);
 }
 
 nanoseconds
@@ -189,8 +191,8 @@
                          std::span<const std::uint64_t> Prefix) const {
   if (!Speed_.known())
     return nanoseconds(0);
-  return Speed_.untilFirstToken(uncached(Prompt, Prefix)) +
-         Speed_.betweenTokens() * Answer.count();
+  return Speed_.timeToFirstToken(uncached(Prompt, Prefix)) +
+         Speed_.timeBetweenTokens() * Answer.count();
 }
 
 } // namespace samphireshunt
--- a/Source/Process/Scheduling/ServerModel.h
+++ b/Source/Process/Scheduling/ServerModel.h
@@ -28,7 +28,7 @@
   Tokens CacheTokens_{0};
   /// The number of requests of MaxInFlight_ that are queued inside the engine
   /// until a slot is free.
-  std::uint32_t Ahead_ = 0;
+  std::uint32_t QueuedInEngine_ = 0;
   /// The engine's current process; 0 means unknown.
   Incarnation Incarnation_;
 };
@@ -44,7 +44,7 @@
   bool Replaced_ = false;
   Tokens Generated_;
   /// Number of tokens in the first event.
-  Tokens AtOnce_{1};
+  Tokens FirstEventTokens_{1};
   std::chrono::microseconds FirstToken_{0};
   std::chrono::microseconds Duration_{0};
 };
@@ -62,7 +62,7 @@
 };
 
 /// Where the first half of a long prompt is, as seen from one engine.
-enum class PrefixPlace { Elsewhere, InProgress, Cached };
+enum class PrefixState { NotCached, InProgress, Cached };
 
 class ServerModel {
 public:
@@ -102,8 +102,8 @@
                   EngineSpeed &Typical);
   void end(const RequestId &Id);
   /// \returns where the beginning of a long prompt is.
-  PrefixPlace placeOf(std::span<const std::uint64_t> Prefix) const;
-  void learn(const ServedSample &Sample, EngineSpeed &Typical);
+  PrefixState prefixState(std::span<const std::uint64_t> Prefix) const;
+  void recordServed(const ServedSample &Sample, EngineSpeed &Typical);
   void report(const LoadReport &Report) { Reported_ = Report; }
   /// Adapts the limit to a report. The limit is lowered to what the engine
   /// works on if requests wait inside it, since they wait there in order of
@@ -132,27 +132,27 @@
   std::chrono::nanoseconds
   evictionCost(Tokens Prompt, std::span<const std::uint64_t> Prefix) const;
   /// Expected time between tokens; 0 while unknown.
-  std::chrono::nanoseconds betweenTokens() const {
-    return Speed_.betweenTokens();
+  std::chrono::nanoseconds timeBetweenTokens() const {
+    return Speed_.timeBetweenTokens();
   }
   /// Expected time for the prompts that the engine has not read yet.
-  std::chrono::nanoseconds unreadTime() const {
-    return Speed_.reading(PendingPrefill_);
+  std::chrono::nanoseconds pendingReadingTime() const {
+    return Speed_.readingTime(PendingPrefill_);
   }
   /// Expected time for reading a prompt, with nothing cached and nothing else
   /// to read.
-  std::chrono::nanoseconds reading(Tokens Prompt) const {
-    return Speed_.reading(Prompt);
+  std::chrono::nanoseconds readingTime(Tokens Prompt) const {
+    return Speed_.readingTime(Prompt);
   }
   /// The longest prompt that the engine reads within \p Time.
-  Tokens readable(std::chrono::nanoseconds Time) const {
-    return Speed_.readable(Time);
+  Tokens longestPromptWithin(std::chrono::nanoseconds Time) const {
+    return Speed_.longestPromptWithin(Time);
   }
   /// Expected time for all prompts that the engine has not read yet, including
   /// this one.
   std::chrono::nanoseconds
-  readingWith(Tokens Prompt, std::span<const std::uint64_t> Prefix) const {
-    return Speed_.reading(PendingPrefill_ + uncached(Prompt, Prefix));
+  readingTimeWith(Tokens Prompt, std::span<const std::uint64_t> Prefix) const {
+    return Speed_.readingTime(PendingPrefill_ + uncached(Prompt, Prefix));
   }
   /// Sets the speed that is assumed until the engine's own requests are
   /// measured.
@@ -183,13 +183,13 @@
   /// Prompt work that the engine still has to do for one request.
   struct PrefillWork {
     Tokens Own_;
-    Tokens WithThoseAhead_;
+    Tokens WithPending_;
     std::vector<std::uint64_t> Prefix_;
     /// The request did not have to wait for a slot in the engine.
-    bool HadPlace_ = true;
+    bool HadSlot_ = true;
   };
-  std::uint32_t places() const;
-  std::chrono::nanoseconds waitForPlace() const;
+  std::uint32_t slots() const;
+  std::chrono::nanoseconds waitForSlot() const;
   void endPrefill(const RequestId &Id);
 
   std::unordered_map<RequestId, PrefillWork> Prefilling_;
--- a/Source/Programs/CtlCommands.cpp
+++ b/Source/Programs/CtlCommands.cpp
@@ -47,7 +47,7 @@
   return {{"code", static_cast<int>(Found.Code_)},
           {"name", describe(Found.Code_).Name_},
           {"line", Found.Line_},
-          {"place", Found.Place_},
+          {"place", Found.Pointer_},
           {"message", Found.Message_}};
 }
 
@@ -109,7 +109,7 @@
     Lines +=
         fmt::format("{}:{}: {} {}: {}: {}\n", Path, Found.Line_,
                     static_cast<int>(Found.Code_), describe(Found.Code_).Name_,
-                    Found.Place_, Found.Message_);
+                    Found.Pointer_, Found.Message_);
   }
   print({{"valid", false}, {"findings", std::move(Findings)}}, Lines);
   return std::nullopt;
@@ -213,7 +213,7 @@
 CtlCommands::refuseTooNewFormat(std::string CanonicalJson) {
   int Format = Json::parse(CanonicalJson)["format"].get<int>();
   std::vector<std::string> Old;
-  for (const DaemonState &State : co_await askDaemons())
+  for (const DaemonState &State : co_await queryDaemons())
     if (State.Reached_ && State.Status_.value("format", 0) < Format)
       Old.push_back(State.Vm_.str());
   if (Old.empty())
@@ -255,12 +255,12 @@
   auto Accepted = co_await putOnce(Service, Next, Expected);
   if (!Accepted)
     co_return fail(exitFor(Accepted.error()), Accepted.error());
-  co_await keepHistory(Service, Next);
+  co_await writeHistory(Service, Next);
   print({{"accepted", Accepted->count()}, {"change", Options_.ChangeId_}},
         fmt::format("accepted as version {}\n", Accepted->count()));
   if (!Options_.Wait_)
     co_return ExitStatus::Ok;
-  co_return co_await awaitEverywhere(Service, *Accepted);
+  co_return co_await awaitActiveEverywhere(Service, *Accepted);
 }
 
 /// Writes \p Next, retrying on errors. A write may take effect although its
@@ -299,8 +299,8 @@
   co_return Last;
 }
 
-Awaitable<void> CtlCommands::keepHistory(ServiceName Service,
-                                         VersionedDocument Accepted) {
+Awaitable<void> CtlCommands::writeHistory(ServiceName Service,
+                                          VersionedDocument Accepted) {
   KeyValueWrite Write;
   Write.Key_ = historyKey(Service, Accepted.Version_);
   Write.Value_ = Accepted.encode();
@@ -358,7 +358,7 @@
                          Options_.ExpectedVersion_);
 }
 
-Awaitable<std::vector<CtlCommands::DaemonState>> CtlCommands::askDaemons() {
+Awaitable<std::vector<CtlCommands::DaemonState>> CtlCommands::queryDaemons() {
   std::vector<DaemonState> States;
   auto Listed = co_await Options_.Platform_.Vms_();
   if (!Listed)
@@ -382,14 +382,15 @@
   co_return States;
 }
 
-Awaitable<ExitStatus> CtlCommands::awaitEverywhere(ServiceName Service,
-                                                   DocumentVersion Version) {
+Awaitable<ExitStatus>
+CtlCommands::awaitActiveEverywhere(ServiceName Service,
+                                   DocumentVersion Version) {
   auto Deadline = steady_clock::now() + Options_.WaitTimeout_;
   std::vector<std::string> Behind;
   std::size_t Before = 0;
   do {
     Behind.clear();
-    auto States = co_await askDaemons();
+    auto States = co_await queryDaemons();
     for (const DaemonState &State : States) {
       Json Services = State.Status_.value("services", Json::object());
       Json Known = Services.value(Service.str(), Json::object());
@@ -413,7 +414,7 @@
 }
 
 Awaitable<ExitStatus> CtlCommands::status() {
-  auto States = co_await askDaemons();
+  auto States = co_await queryDaemons();
   Json Rows = Json::array();
   std::string Text;
   std::set<std::uint64_t> Eras;
--- a/Source/Programs/CtlCommands.h
+++ b/Source/Programs/CtlCommands.h
@@ -65,10 +65,10 @@
                             std::int64_t ExpectedVersion);
   Awaitable<Result<DocumentVersion>>
   putOnce(ServiceName Service, VersionedDocument Next, StorePosition Expected);
-  Awaitable<void> keepHistory(ServiceName Service, VersionedDocument Accepted);
-  Awaitable<ExitStatus> awaitEverywhere(ServiceName Service,
-                                        DocumentVersion Version);
-  Awaitable<std::vector<DaemonState>> askDaemons();
+  Awaitable<void> writeHistory(ServiceName Service, VersionedDocument Accepted);
+  Awaitable<ExitStatus> awaitActiveEverywhere(ServiceName Service,
+                                              DocumentVersion Version);
+  Awaitable<std::vector<DaemonState>> queryDaemons();
   Awaitable<std::optional<ExitStatus>> refuseTooNewFormat(std::string Json);
 
   CtlOptions Options_;
--- a/Source/Programs/CtlMain.cpp
+++ b/Source/Programs/CtlMain.cpp
@@ -3,7 +3,7 @@
 
 #include "Programs/CtlCommands.h"
 #include "Programs/OutcomeReport.h"
-#include "Programs/RequestStory.h"
+#include "Programs/RequestTimeline.h"
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
@@ -123,7 +123,7 @@
                [&](std::istream &File) { Logs << File.rdbuf(); });
   if (Status != ExitStatus::Ok)
     return Status;
-  RequestStory Timeline = readStory(Logs, Words[1], ContextSeconds);
+  RequestTimeline Timeline = readTimeline(Logs, Words[1], ContextSeconds);
   if (!Timeline.Found_) {
     fmt::print(stderr, "the logs contain no line of request {}\n", Words[1]);
     return ExitStatus::NotFound;
--- a/Source/Programs/Daemon.cpp
+++ b/Source/Programs/Daemon.cpp
@@ -45,7 +45,7 @@
 
 const VmId &ingressOf(const Decision &Taken) {
   return std::visit(
-      [](const auto &Value) -> const VmId & { return Value.Entry_; }, Taken);
+      [](const auto &Value) -> const VmId & { return Value.Ingress_; }, Taken);
 }
 
 /// \returns how long a newer configuration may be known without being active;
@@ -56,7 +56,7 @@
 
 Scheduler::Options schedulingOptions(const Settings &Configured) {
   auto IsEnabled = [&](std::string_view Name) {
-    return std::ranges::count(Configured.LeftOut_, Name) == 0;
+    return std::ranges::count(Configured.DisabledDecisions_, Name) == 0;
   };
   Scheduler::Options Options;
   Options.TwoChoices_ = Configured.TwoChoices_;
@@ -67,11 +67,11 @@
   Options.UsePrefixes_ = IsEnabled("prefixes");
   Options.UseSpeeds_ = IsEnabled("speeds");
   Options.AdaptLimits_ = IsEnabled("limits");
-  Options.KeepPauses_ = IsEnabled("pauses");
-  Options.CountLateApart_ = IsEnabled("late-apart");
-  Options.PutLongBack_ = IsEnabled("lengths");
-  Options.ScheduleReturns_ = IsEnabled("returns");
-  Options.KeepQuick_ = IsEnabled("quick");
+  Options.LimitPauses_ = IsEnabled("pauses");
+  Options.CountMissedSeparately_ = IsEnabled("late-apart");
+  Options.DeferLongAnswers_ = IsEnabled("lengths");
+  Options.ScheduleRetries_ = IsEnabled("returns");
+  Options.ReserveFastEngines_ = IsEnabled("quick");
   if (Configured.ByObjective_) {
     Options.GuaranteedShare_ = Configured.GuaranteedShare_;
     Options.RefuseLongWaits_ = true;
@@ -112,11 +112,11 @@
              std::chrono::microseconds Time) {
         Metrics_.reportPlatformCall(Call, Succeeded, Time);
       });
-  RepeatBudget::Options Budget;
-  Budget.Ratio_ = Settings_.RepeatRatio_;
-  Budget.Extra_ = Settings_.RepeatExtra_;
-  Budget.Window_ = Settings_.RepeatWindow_;
-  Repeats_ = std::make_unique<RepeatBudget>(Budget);
+  RetryBudget::Options Budget;
+  Budget.Ratio_ = Settings_.RetryRatio_;
+  Budget.Allowance_ = Settings_.ExtraRetries_;
+  Budget.Window_ = Settings_.RetryWindow_;
+  RetryBudget_ = std::make_unique<RetryBudget>(Budget);
   Claims_ = std::make_unique<ClaimStore>(Platform_, ClaimStore::Options());
 }
 
@@ -136,19 +136,23 @@
 
 PeerNetwork::Hooks Daemon::peerHooks() {
   PeerNetwork::Hooks Hooks;
-  Hooks.Asked_ = [this](const VmId &From, wire::EnvelopeT Message) {
-    onAsked(From, std::move(Message));
+  Hooks.RequestReceived_ = [this](const VmId &From, wire::EnvelopeT Message) {
+    onPeerRequest(From, std::move(Message));
   };
-  Hooks.Answered_ = [this](const VmId &From, wire::EnvelopeT Message) {
-    onAnswered(From, std::move(Message));
+  Hooks.ReplyReceived_ = [this](const VmId &From, wire::EnvelopeT Message) {
+    onPeerResponse(From, std::move(Message));
   };
   Hooks.LinkDown_ = [this](const VmId &To) {
     Grants_->onLinkDown(To);
     if (PeerFollower_)
       PeerFollower_->onLinkDown(To);
   };
-  Hooks.AskerCame_ = [this](const VmId &From) { Keeper_->entryBack(From); };
-  Hooks.AskerGone_ = [this](const VmId &From) { Keeper_->entryGone(From); };
+  Hooks.PeerConnected_ = [this](const VmId &From) {
+    Keeper_->ingressReconnected(From);
+  };
+  Hooks.PeerDisconnected_ = [this](const VmId &From) {
+    Keeper_->ingressDisconnected(From);
+  };
   Hooks.Awaiting_ = [this](const VmId &To) {
     return Grants_->awaiting(To) ||
            (PeerFollower_ && PeerFollower_->awaiting(To));
@@ -176,7 +180,7 @@
     Datagrams = std::move(*Bound);
     return {};
   };
-  return openAtOnePort(Settings_.Peers_, OpenStreams, OpenDatagrams);
+  return openOnSamePort(Settings_.Peers_, OpenStreams, OpenDatagrams);
 }
 
 void Daemon::wireMembership(Udp::socket Datagrams) {
@@ -213,13 +217,13 @@
     ServiceName Service(Version.service);
     DocumentVersion Seen(Version.version);
     if (Configuration_)
-      Configuration_->versionSeen(From, Service, Seen);
+      Configuration_->versionAnnounced(From, Service, Seen);
     if (PeerFollower_ && Service == Adapter_.Layout_->Service_)
-      PeerFollower_->onVersionHeard(From, Seen);
+      PeerFollower_->onVersionAnnounced(From, Seen);
   };
   Hooks.Floors_ = [this] { return Keeper_->floors(); };
   Hooks.FloorSeen_ = [this](const PoolFloor &Floor) {
-    Keeper_->floorSeen(Floor);
+    Keeper_->onRemoteFloor(Floor);
   };
   Membership_ =
       MembershipService::create(Control_, std::move(Datagrams), *Members_,
@@ -243,14 +247,14 @@
     onDecided(Taken);
   };
   Hooks.Orphaned_ = [this](const OrphanedRequest &Orphan) {
-    Engines_->cleanOrphan(Orphan);
+    Engines_->handleOrphan(Orphan);
   };
   Hooks.AloneInFleet_ = [this] { return Members_->others().empty(); };
   Hooks.IsKeeper_ = [this](const CellId &Cell) {
     return keeperFor(Cell, {}) == Settings_.Vm_;
   };
   Hooks.LiveShare_ = [this] { return Members_->liveShare(); };
-  Hooks.FloorRaised_ = [this] { Membership_->spreadNews(); };
+  Hooks.FloorRaised_ = [this] { Membership_->spreadUpdates(); };
   KeeperService::Options Options;
   Options.Scheduling_ = schedulingOptions(Settings_);
   Options.Scheduling_.Seed_ = Origin_;
@@ -258,11 +262,11 @@
   // seeds, with none and with one ahead, it is 0.619 and 0.652 on the hardest
   // day of Red Clay, and 0.561 and 0.569 on that of Quilotoa Alto.
   auto IsEnabled = [&](std::string_view Name) {
-    return std::ranges::count(Settings_.LeftOut_, Name) == 0;
+    return std::ranges::count(Settings_.DisabledDecisions_, Name) == 0;
   };
   if (Settings_.ByObjective_ && IsEnabled("ahead"))
     Options.AheadPerServer_ = 1;
-  Options.KeepRoom_ = IsEnabled("room");
+  Options.ReserveHeadroom_ = IsEnabled("room");
   Options.Allotments_.Window_ = Settings_.AllotmentWindow_;
   Options.Allotments_.Overrun_ = Settings_.AllotmentOverrun_;
   Options.Allotments_.Credit_ = Settings_.AllotmentCredit_;
@@ -277,8 +281,8 @@
   View_ = std::make_unique<StoreView>(Documents_, *Adapter_.Layout_,
                                       StoreView::Times{RegisterAgainTime});
   StoreView::Hooks ViewHooks;
-  ViewHooks.DaemonSeen_ = [this](const VmId &Id, const KeyValue &Entry) {
-    Follower_->daemonSeen(Id, Entry);
+  ViewHooks.DaemonEntryRead_ = [this](const VmId &Id, const KeyValue &Entry) {
+    Follower_->onDaemonEntry(Id, Entry);
     onDaemonRegistered(Id, Entry.Value_);
   };
   ViewHooks.Changed_ = [this] { PeerFollower_->onChanged(); };
@@ -286,7 +290,7 @@
   Follower_ = std::make_unique<StoreFollower>(
       Control_, Platform_, *View_, Freshness_, StoreFollower::Options());
   PeerFollower::Hooks Hooks;
-  Hooks.Choose_ = [this] {
+  Hooks.ChooseReaders_ = [this] {
     if (!ReaderChoice_)
       ReaderChoice_ = chooseReaders(Members_->self(), Members_->keepers(),
                                     Settings_.DaemonsPerReader_);
@@ -324,7 +328,8 @@
   if (Adapter_.Layout_)
     return wireFollower();
   ConfigurationSync::Hooks Hooks;
-  Hooks.AskPeer_ = [this](const VmId &From, const ServiceName &Service) {
+  Hooks.RequestDocument_ = [this](const VmId &From,
+                                  const ServiceName &Service) {
     wire::DocumentRequestT Request;
     Request.service = Service.str();
     Peers_->send(From, encodeMessage(std::move(Request)));
@@ -333,7 +338,7 @@
     onVmsListed(Listed);
   };
   Hooks.HeardFromPeer_ = [this] {
-    return Membership_->protocol().heardFromPeer();
+    return Membership_->protocol().receivedFromPeer();
   };
   Configuration_ = std::make_unique<ConfigurationSync>(
       Control_, Platform_, Documents_, Freshness_, ConfigurationSync::Options(),
@@ -374,7 +379,7 @@
           Sink,
           Adapter_.Dialect_,
           Freshness_,
-          *Repeats_,
+          *RetryBudget_,
           [this](const ForwardingRule &Rule) { return hasTimeFor(Rule); },
           FleetSize};
 }
@@ -448,7 +453,7 @@
 
 Result<void> Daemon::wireOperators() {
   OperatorService::Hooks Hooks;
-  Hooks.IsReady_ = [this] { return isTakingCallers(); };
+  Hooks.IsReady_ = [this] { return isAcceptingCallers(); };
   Hooks.Status_ = [this] { return status(); };
   Hooks.Metrics_ = [this] { return metrics(); };
   Hooks.Vms_ = [this] { return vms(); };
@@ -487,9 +492,9 @@
   return KeeperChoice_.keeperOf(Cell, Unreachable);
 }
 
-void Daemon::onAsked(const VmId &From, wire::EnvelopeT Message) {
+void Daemon::onPeerRequest(const VmId &From, wire::EnvelopeT Message) {
   if (const auto *Ask = Message.body.AsAsk())
-    Keeper_->ask(CellId::fromWire(Ask->cell), askFromWire(*Ask, From));
+    Keeper_->requestGrant(CellId::fromWire(Ask->cell), askFromWire(*Ask, From));
   else if (const auto *Withdraw = Message.body.AsWithdraw())
     Keeper_->withdraw(CellId::fromWire(Withdraw->cell), fromWire(Withdraw->id));
   else if (const auto *Running = Message.body.AsRunning())
@@ -503,14 +508,14 @@
       Keeper_->done(CellId::fromWire(Done->cell), fromWire(Done->id),
                     sampleFromWire(*Done));
     else
-      Keeper_->handBack(fromWire(Done->id));
+      Keeper_->returnGrant(fromWire(Done->id));
   } else if (const auto *Request = Message.body.AsDocumentRequest())
     sendDocument(From, ServiceName(Request->service));
   else if (const auto *Follow = Message.body.AsFollow();
            Follow && PeerFollower_)
     PeerFollower_->onFollow(From, *Follow);
   else if (const auto *Text = Message.body.AsTextAsk(); Text && PeerFollower_)
-    PeerFollower_->onTextAsk(From, *Text);
+    PeerFollower_->onTextRequest(From, *Text);
 }
 
 void Daemon::sendDocument(const VmId &To, const ServiceName &Service) {
@@ -525,7 +530,7 @@
   Peers_->reply(To, encodeMessage(std::move(Reply)));
 }
 
-void Daemon::onAnswered(const VmId &From, wire::EnvelopeT Message) {
+void Daemon::onPeerResponse(const VmId &From, wire::EnvelopeT Message) {
   if (const auto *Grant = Message.body.AsGrant())
     Grants_->onDecision(
         GrantDecision{fromWire(Grant->id), ServerName(Grant->server), {}},
@@ -546,7 +551,7 @@
     PeerFollower_->onState(From, *State);
   else if (const auto *Chunk = Message.body.AsTextPart();
            Chunk && PeerFollower_)
-    PeerFollower_->onTextPart(From, *Chunk);
+    PeerFollower_->onTextChunk(From, *Chunk);
 }
 
 void Daemon::onDecided(const Decision &Taken) {
@@ -565,10 +570,10 @@
 void Daemon::onMemberChanged(const Member &Changed) {
   MemberLog_.changed(Changed);
   membersChanged();
-  refreshSoon();
+  scheduleRefresh();
   if (Changed.Status_ != MemberStatus::Dead)
     return;
-  asio::post(Control_, [this, Id = Changed.Id_] { Keeper_->entryDead(Id); });
+  asio::post(Control_, [this, Id = Changed.Id_] { Keeper_->ingressDied(Id); });
 }
 
 void Daemon::onDocumentChanged(const ServiceName &) {
@@ -576,8 +581,8 @@
   // Refresh the schedulers immediately: a version counts as active once it is
   // adopted, and the schedulers must use it from then on.
   Keeper_->refresh();
-  Membership_->spreadNews();
-  refreshSoon();
+  Membership_->spreadUpdates();
+  scheduleRefresh();
 }
 
 void Daemon::applyLogLevel() {
@@ -590,7 +595,7 @@
   spdlog::set_level(Level);
 }
 
-void Daemon::refreshSoon() {
+void Daemon::scheduleRefresh() {
   if (std::exchange(RefreshPending_, true))
     return;
   RefreshTimer_.expires_after(RefreshDelay);
@@ -625,7 +630,7 @@
   bool Changed = Documents_.snapshot()->LeavingAddresses_ != Leaving;
   Documents_.setLeavingAddresses(std::move(Leaving));
   if (Changed)
-    refreshSoon();
+    scheduleRefresh();
 }
 
 } // namespace samphireshunt
--- a/Source/Programs/Daemon.h
+++ b/Source/Programs/Daemon.h
@@ -38,7 +38,7 @@
   /// and daemons. If unset, the service contains documents as samphireshuntctl
   /// writes them.
   std::optional<StoreLayout> Layout_;
-  ForwardingDialect Dialect_ = ownDialect();
+  ForwardingDialect Dialect_ = defaultDialect();
 };
 
 class Daemon {
@@ -86,19 +86,19 @@
   HttpLimits callerLimits() const;
   bool configurationReady();
   bool platformReachable() const;
-  bool isTakingCallers() const;
+  bool isAcceptingCallers() const;
   bool hasTimeFor(const ForwardingRule &Rule) const;
-  void lookAround();
-  void lookThrough(std::vector<boost::asio::io_context *> Left);
-  void onLookedAround();
+  void flushEventQueues();
+  void flushNextQueue(std::vector<boost::asio::io_context *> Left);
+  void onEventQueuesFlushed();
   bool mayStop(std::chrono::steady_clock::duration Drained);
   void reloadSettings();
   void awaitSignal();
 
   std::optional<VmId> keeperFor(const CellId &Cell,
                                 const std::vector<VmId> &Unreachable) const;
-  void onAsked(const VmId &From, wire::EnvelopeT Message);
-  void onAnswered(const VmId &From, wire::EnvelopeT Message);
+  void onPeerRequest(const VmId &From, wire::EnvelopeT Message);
+  void onPeerResponse(const VmId &From, wire::EnvelopeT Message);
   void onDecided(const Decision &Taken);
   void onMemberChanged(const Member &Changed);
   /// Invalidates the values that were computed from the list of members.
@@ -106,7 +106,7 @@
   void onDocumentChanged(const ServiceName &Service);
   void onVmsListed(const std::vector<ListedVm> &Listed);
   void sendDocument(const VmId &To, const ServiceName &Service);
-  void refreshSoon();
+  void scheduleRefresh();
   void applyLogLevel();
   bool isReady() const;
   RequestId nextRequestId();
@@ -123,7 +123,7 @@
   Settings Settings_;
   PlatformAdapter Adapter_;
   FreshnessLease Freshness_;
-  std::unique_ptr<RepeatBudget> Repeats_;
+  std::unique_ptr<RetryBudget> RetryBudget_;
   Incarnation Incarnation_;
   std::uint64_t Origin_ = 0;
   std::atomic<std::uint64_t> NextSequence_ = 1;
@@ -134,8 +134,8 @@
   bool Joined_ = false;
   std::atomic<bool> Draining_ = false;
   TimePoint DrainStarted_;
-  bool LookingAround_ = false;
-  TimePoint LookStarted_;
+  bool FlushingQueues_ = false;
+  TimePoint FlushStarted_;
 
   /// Contexts of the worker threads, declared before Control_ and Grants_. Both
   /// refer to waiting requests by timers of these contexts. If a context were
@@ -176,7 +176,7 @@
   boost::asio::steady_timer RefreshTimer_;
   bool RefreshPending_ = false;
   std::filesystem::file_time_type FlagFileTime_;
-  std::chrono::steady_clock::time_point FlagFileLooked_;
+  std::chrono::steady_clock::time_point FlagFileChecked_;
 };
 
 } // namespace samphireshunt
--- a/Source/Programs/DaemonLife.cpp
+++ b/Source/Programs/DaemonLife.cpp
@@ -43,8 +43,8 @@
 /// callers should go to other daemons, already shortly before that happens.
 /// While no daemon is in contact with the platform, the balancer sends to all
 /// of them.
-bool Daemon::isTakingCallers() const {
-  bool InTouch = Configuration_ || PeerFollower_->inTouch();
+bool Daemon::isAcceptingCallers() const {
+  bool InTouch = Configuration_ || PeerFollower_->hasSource();
   BootTime Now = BootClock::now();
   return isReady() && !Draining_ && InTouch && Freshness_.valid(Now) &&
          !Freshness_.overdue(Now);
@@ -60,16 +60,17 @@
   if (Documents_.snapshot()->Services_.empty())
     return false;
   auto Running = steady_clock::now() - Started_;
-  bool Joined = Membership_->protocol().heardFromPeer() || Running >= JoinTime;
-  bool Complete =
-      !PeerFollower_->lacksHeardVersion() || Running >= JoinTime + FetchTime;
+  bool Joined =
+      Membership_->protocol().receivedFromPeer() || Running >= JoinTime;
+  bool Complete = !PeerFollower_->lacksAnnouncedVersion() ||
+                  Running >= JoinTime + FetchTime;
   Joined_ = Joined_ || (Joined && Complete);
   return Joined_;
 }
 
 bool Daemon::platformReachable() const {
   return Configuration_ ? Configuration_->platformReachable()
-                        : PeerFollower_->inTouch();
+                        : PeerFollower_->hasSource();
 }
 
 RequestId Daemon::nextRequestId() { return {Origin_, NextSequence_++}; }
@@ -142,9 +143,9 @@
   Draining_ = true;
   Members_->leave();
   membersChanged();
-  Membership_->spreadNews();
+  Membership_->spreadUpdates();
   CallerServer_->closeAfterAnswers();
-  refreshSoon();
+  scheduleRefresh();
 }
 
 /// True when a request has enough time before the stop. A request that is
@@ -165,30 +166,30 @@
 /// a stop decided in that iteration would cut them. So all threads first
 /// process their pending events, and the decision follows when the last thread
 /// has finished.
-void Daemon::lookAround() {
-  if (std::exchange(LookingAround_, true))
+void Daemon::flushEventQueues() {
+  if (std::exchange(FlushingQueues_, true))
     return;
-  LookStarted_ = steady_clock::now();
+  FlushStarted_ = steady_clock::now();
   std::vector<asio::io_context *> Contexts(FlushIterations, &Control_);
   for (const auto &Context : WorkerContexts_)
     Contexts.insert(Contexts.begin(), FlushIterations, Context.get());
-  lookThrough(std::move(Contexts));
+  flushNextQueue(std::move(Contexts));
 }
 
-void Daemon::lookThrough(std::vector<asio::io_context *> Left) {
+void Daemon::flushNextQueue(std::vector<asio::io_context *> Left) {
   if (Left.empty())
-    return asio::post(Control_, [this] { onLookedAround(); });
+    return asio::post(Control_, [this] { onEventQueuesFlushed(); });
   asio::io_context &Next = *Left.back();
   Left.pop_back();
   asio::post(Next, [this, Left = std::move(Left)]() mutable {
-    lookThrough(std::move(Left));
+    flushNextQueue(std::move(Left));
   });
 }
 
-void Daemon::onLookedAround() {
-  LookingAround_ = false;
+void Daemon::onEventQueuesFlushed() {
+  FlushingQueues_ = false;
   // Connections accepted in the meantime may have unread requests again.
-  if (CallerServer_->lastAccepted() >= LookStarted_)
+  if (CallerServer_->lastAccepted() >= FlushStarted_)
     return;
   if (mayStop(steady_clock::now() - DrainStarted_))
     stopAll();
@@ -220,9 +221,9 @@
     if (Drained >= Settings_.DrainTimeout_)
       return stopAll();
     if (Drained >= Settings_.DrainDelay_)
-      lookAround();
+      flushEventQueues();
   }
-  if (steady_clock::now() - FlagFileLooked_ >= FlagFileInterval)
+  if (steady_clock::now() - FlagFileChecked_ >= FlagFileInterval)
     reloadSettings();
   bool Steady = Ready_ && !Draining_;
   DrainTimer_.expires_after(Steady ? SteadyCheckInterval : DrainCheckInterval);
@@ -236,7 +237,7 @@
 /// level, the peers to join and the times of a stop. Addresses don't change
 /// until the next start.
 void Daemon::reloadSettings() {
-  FlagFileLooked_ = steady_clock::now();
+  FlagFileChecked_ = steady_clock::now();
   if (Settings_.FlagFile_.empty())
     return;
   std::error_code Error;
--- a/Source/Programs/DaemonReports.cpp
+++ b/Source/Programs/DaemonReports.cpp
@@ -66,8 +66,8 @@
   for (const auto &[Name, Service] : Snapshot->Services_) {
     Json Entry;
     Entry["version"] = Service.Version_.count();
-    if (Service.NotUnderstood_.count() > 0)
-      Entry["notUnderstood"] = Service.NotUnderstood_.count();
+    if (Service.UnsupportedVersion_.count() > 0)
+      Entry["notUnderstood"] = Service.UnsupportedVersion_.count();
     Root["services"][Name.str()] = std::move(Entry);
   }
   Root["members"] = Json::array();
@@ -90,8 +90,8 @@
       Entry["servers"][Name.str()] = {
           {"inFlight", Server.inFlight()},
           {"usable", Server.usable()},
-          {"unreadMs", millis(Server.unreadTime())},
-          {"tokenMicros", micros(Server.betweenTokens())}};
+          {"unreadMs", millis(Server.pendingReadingTime())},
+          {"tokenMicros", micros(Server.timeBetweenTokens())}};
     Root["cells"].push_back(std::move(Entry));
   }
   return Root.dump();
--- a/Source/Programs/OutcomeReport.cpp
+++ b/Source/Programs/OutcomeReport.cpp
@@ -183,23 +183,23 @@
   if (ByKind_.size() >= MaxKinds && !ByKind_.contains(Kind))
     Kind = OtherKinds;
   ByKind_[Kind][{Fate, Code}] += 1 + LeftOut;
-  countMoment(secondsOfDay(Time), Fate, 1 + LeftOut);
+  countInInterval(secondsOfDay(Time), Fate, 1 + LeftOut);
   Total_ += 1 + LeftOut;
   LeftOut_ += LeftOut;
 }
 
-void OutcomeReport::countMoment(double Seconds, RequestFate Fate,
-                                std::uint64_t Requests) {
-  auto Moment = [this](std::uint64_t At) { return At - At % MomentSeconds_; };
-  ByMoment_[Moment(static_cast<std::uint64_t>(Seconds))][Fate] += Requests;
-  if (ByMoment_.size() <= MaxMoments)
+void OutcomeReport::countInInterval(double Seconds, RequestFate Fate,
+                                    std::uint64_t Requests) {
+  auto Moment = [this](std::uint64_t At) { return At - At % IntervalSeconds_; };
+  ByInterval_[Moment(static_cast<std::uint64_t>(Seconds))][Fate] += Requests;
+  if (ByInterval_.size() <= MaxMoments)
     return;
-  MomentSeconds_ *= 2;
+  IntervalSeconds_ *= 2;
   std::map<std::uint64_t, FateCounts> Coarser;
-  for (const auto &[At, Counts] : ByMoment_)
+  for (const auto &[At, Counts] : ByInterval_)
     for (const auto &[Known, Count] : Counts)
       Coarser[Moment(At)][Known] += Count;
-  ByMoment_ = std::move(Coarser);
+  ByInterval_ = std::move(Coarser);
 }
 
 std::uint64_t OutcomeReport::count(RequestFate Fate) const {
@@ -230,9 +230,9 @@
     Text += fmt::format(" {} {}", Letter, fateName(Fate));
   Text += "\n";
   std::uint64_t Largest = 0;
-  for (const auto &[At, Counts] : ByMoment_)
+  for (const auto &[At, Counts] : ByInterval_)
     Largest = std::max(Largest, sum(Counts));
-  for (const auto &[At, Counts] : ByMoment_)
+  for (const auto &[At, Counts] : ByInterval_)
     Text += fmt::format("{} {:>8} {}\n", clockText(At), sum(Counts),
                         bar(Counts, Largest));
   return Text;
@@ -241,7 +241,7 @@
 Json OutcomeReport::json() const {
   Json Report = {
       {"requests", Total_},          {"leftOut", LeftOut_},
-      {"brokenLines", BrokenLines_}, {"momentSeconds", MomentSeconds_},
+      {"brokenLines", BrokenLines_}, {"momentSeconds", IntervalSeconds_},
       {"kinds", Json::array()},      {"moments", Json::array()}};
   for (const auto &[Kind, Causes] : ByKind_)
     for (const auto &[Known, Count] : Causes)
@@ -249,7 +249,7 @@
                                  {"fate", fateName(Known.Fate_)},
                                  {"code", Known.Code_},
                                  {"requests", Count}});
-  for (const auto &[At, Counts] : ByMoment_) {
+  for (const auto &[At, Counts] : ByInterval_) {
     Json Moment = {{"time", clockText(At)}};
     for (const auto &[Fate, Count] : Counts)
       Moment[std::string(fateName(Fate))] = Count;
--- a/Source/Programs/OutcomeReport.h
+++ b/Source/Programs/OutcomeReport.h
@@ -62,12 +62,13 @@
 
   void readLine(std::string_view Text);
   void readEnd(const nlohmann::ordered_json &Line);
-  void countMoment(double Seconds, RequestFate Fate, std::uint64_t Requests);
+  void countInInterval(double Seconds, RequestFate Fate,
+                       std::uint64_t Requests);
 
   std::map<std::string, std::map<Cause, std::uint64_t>> ByKind_;
-  std::map<std::uint64_t, FateCounts> ByMoment_;
-  /// Length of an interval of ByMoment_.
-  std::uint64_t MomentSeconds_ = 1;
+  std::map<std::uint64_t, FateCounts> ByInterval_;
+  /// Length of an interval of ByInterval_.
+  std::uint64_t IntervalSeconds_ = 1;
   std::uint64_t Total_ = 0;
   std::uint64_t LeftOut_ = 0;
   std::uint64_t BrokenLines_ = 0;
--- a/Source/Programs/RequestStory.cpp
+++ b/Source/Programs/RequestTimeline.cpp
@@ -1,4 +1,4 @@
-#include "Programs/RequestStory.h"
+#include "Programs/RequestTimeline.h"
 
 #include "Programs/LogLines.h"
 
@@ -51,7 +51,7 @@
 
 } // namespace
 
-std::string RequestStory::text() const {
+std::string RequestTimeline::text() const {
   std::string Text;
   for (const LogLine &Line : Lines_)
     Text += fmt::format("{} {:1} {:20} {}{}\n", Line.Time_,
@@ -60,14 +60,14 @@
   return Text;
 }
 
-RequestStory readStory(std::istream &Logs, const std::string &Id,
-                       double ContextSeconds) {
+RequestTimeline readTimeline(std::istream &Logs, const std::string &Id,
+                             double ContextSeconds) {
   std::vector<ReadLine> All;
   for (std::string Text; std::getline(Logs, Text);)
     if (auto Read = parseLine(Text, Id))
       All.push_back(std::move(*Read));
   auto IsOfRequest = [](const ReadLine &Read) { return Read.Line_.OfRequest_; };
-  RequestStory Timeline;
+  RequestTimeline Timeline;
   if (std::ranges::none_of(All, IsOfRequest))
     return Timeline;
   Timeline.Found_ = true;
--- a/Source/Programs/RequestStory.h
+++ b/Source/Programs/RequestTimeline.h
@@ -19,7 +19,7 @@
   bool OfRequest_ = false;
 };
 
-struct RequestStory {
+struct RequestTimeline {
   std::vector<LogLine> Lines_;
   bool Found_ = false;
 
@@ -31,7 +31,7 @@
 /// skipped. \p Id is the id of a request or the caller's own id for it. Lines
 /// about state changes of the daemons involved are included from \p
 /// ContextSeconds before the request's first line until its last line.
-RequestStory readStory(std::istream &Logs, const std::string &Id,
-                       double ContextSeconds);
+RequestTimeline readTimeline(std::istream &Logs, const std::string &Id,
+                             double ContextSeconds);
 
 } // namespace samphireshunt
--- a/Source/Programs/Settings.cpp
+++ b/Source/Programs/Settings.cpp
@@ -269,9 +269,9 @@
   Read.DaemonsPerReader_ = static_cast<std::size_t>(
       Check.number("daemons_per_reader",
                    absl::GetFlag(FLAGS_daemons_per_reader), 0, MaxPerReader));
-  Read.RepeatRatio_ =
+  Read.RetryRatio_ =
       Check.amount("repeat_ratio", absl::GetFlag(FLAGS_repeat_ratio));
-  Read.RepeatExtra_ =
+  Read.ExtraRetries_ =
       Check.amount("repeat_extra", absl::GetFlag(FLAGS_repeat_extra));
   Read.AllotmentWindow_ = Check.seconds(
       "allotment_window_s", absl::GetFlag(FLAGS_allotment_window_s));
@@ -279,7 +279,7 @@
       Check.amount("allotment_overrun", absl::GetFlag(FLAGS_allotment_overrun));
   Read.AllotmentCredit_ =
       Check.amount("allotment_credit", absl::GetFlag(FLAGS_allotment_credit));
-  Read.RepeatWindow_ =
+  Read.RetryWindow_ =
       Check.seconds("repeat_window_s", absl::GetFlag(FLAGS_repeat_window_s));
   Read.LogLevel_ = absl::GetFlag(FLAGS_log_level);
   Check.oneOf("log_level", Read.LogLevel_,
@@ -288,9 +288,9 @@
   Read.TwoChoices_ = Scheduling == "two-choices";
   if (!Read.TwoChoices_ && Scheduling != "keepers")
     Check.addError("scheduling", fmt::format("'{}' is not known", Scheduling));
-  Read.LeftOut_ =
+  Read.DisabledDecisions_ =
       absl::StrSplit(absl::GetFlag(FLAGS_leave_out), ',', absl::SkipEmpty());
-  for (const std::string &Name : Read.LeftOut_)
+  for (const std::string &Name : Read.DisabledDecisions_)
     if (!std::ranges::count(OptionalDecisions, Name))
       Check.addError("leave_out", fmt::format("'{}' is not known", Name));
   Read.TraceCollector_ = Check.address(
--- a/Source/Programs/Settings.h
+++ b/Source/Programs/Settings.h
@@ -62,11 +62,11 @@
   /// One of this many daemons reads the platform's service. 0: all daemons read
   /// it.
   std::size_t DaemonsPerReader_ = 12;
-  /// Limits of retries of requests within RepeatWindow_: the ratio to all
+  /// Limits of retries of requests within RetryWindow_: the ratio to all
   /// requests, and an additional number for the whole fleet.
-  double RepeatRatio_ = 0.2;
-  double RepeatExtra_ = 10;
-  std::chrono::milliseconds RepeatWindow_{10000};
+  double RetryRatio_ = 0.2;
+  double ExtraRetries_ = 10;
+  std::chrono::milliseconds RetryWindow_{10000};
   /// What customers may use beyond their allotments within AllotmentWindow_: a
   /// fraction of the allotment, and an additional amount in the unit of the
   /// allotment.
@@ -78,7 +78,7 @@
   /// Every daemon schedules by itself; a baseline for benchmarks.
   bool TwoChoices_ = false;
   /// Scheduling decisions that are disabled, for benchmarks.
-  std::vector<std::string> LeftOut_;
+  std::vector<std::string> DisabledDecisions_;
   /// The address to which traces are sent; port 0 means none.
   Endpoint TraceCollector_;
 
--- a/Source/Request/ApplicationCall.cpp
+++ b/Source/Request/ApplicationCall.cpp
@@ -46,8 +46,8 @@
       if (IsAnswered)
         co_return;
     }
-    SeekOptions Options;
-    Options.MaxIdle_ = NeedsClaim ? milliseconds(0) : ProvedMaxIdle;
+    ObtainOptions Options;
+    Options.MaxIdle_ = NeedsClaim ? milliseconds(0) : TrustedMaxIdle;
     if (NeedsClaim)
       Options.Prepare_ = [this]() { return claimKey(); };
     auto Obtained = co_await obtainServer(Context_, std::move(Options));
@@ -129,7 +129,7 @@
       Verdict Ended;
       Ended.Code_ = ResultCode::ClaimFailed;
       Ended.Detail_ = Existing.error().Detail_;
-      MayLandLate_ = true;
+      MayTakeEffectLate_ = true;
       co_return Ended;
     }
     if (Existing->Attempt_ != Wanted.Attempt_) {
@@ -143,7 +143,7 @@
   Awaitable<void> refuse(Verdict Ended) {
     if (OtherClaim_)
       co_return co_await answerFromClaim(std::move(*OtherClaim_));
-    if (Claimed_ || MayLandLate_)
+    if (Claimed_ || MayTakeEffectLate_)
       co_await releaseInBackground();
     co_await answerVerdict(Context_, std::move(Ended));
   }
@@ -208,8 +208,8 @@
   Awaitable<void> answerWhole(HttpResponse Answer) {
     if (Claimed_)
       co_await finishInBackground(ClaimState::Answered, &Answer);
-    Context_.Services_.Connections_.giveBack(Ready_.Server_.Address_,
-                                             std::move(Ready_.Connection_));
+    Context_.Services_.Connections_.returnConnection(
+        Ready_.Server_.Address_, std::move(Ready_.Connection_));
     for (std::string_view Field :
          {"connection", "keep-alive", "transfer-encoding", "content-length"})
       Answer.Fields_.erase(std::string(Field));
@@ -256,7 +256,7 @@
   Awaitable<void> releaseInBackground() {
     auto Executor = co_await asio::this_coro::executor;
     auto Release = [&Claims = Context_.Services_.Claims_, Key = claimKeyOf(),
-                    Unused = *Wanted_, Late = MayLandLate_]() {
+                    Unused = *Wanted_, Late = MayTakeEffectLate_]() {
       return Claims.release(Key, Unused, Late);
     };
     spawnLogged(Executor, "release-claim", std::move(Release));
@@ -268,7 +268,7 @@
   std::optional<Claim> Wanted_;
   std::optional<Claim> Claimed_;
   std::optional<Claim> OtherClaim_;
-  bool MayLandLate_ = false;
+  bool MayTakeEffectLate_ = false;
 };
 
 } // namespace
--- a/Source/Request/CallerService.cpp
+++ b/Source/Request/CallerService.cpp
@@ -53,14 +53,14 @@
   auto Messages = Body.find("messages");
   if (Messages == Body.end() || !Messages->is_array() || Messages->empty())
     return Failure{ResultCode::MalformedRequest,
-                   "'messages' must be an array with at least one message"};
+                   "'messages' must be a list with at least one message"};
   std::string Prompt;
   for (const Json &Message : *Messages) {
     bool Valid = Message.is_object() && Message.contains("content") &&
                  Message["content"].is_string();
     if (!Valid)
       return Failure{ResultCode::MalformedRequest,
-                     "every message needs a string as its 'content'"};
+                     "every message needs a text as its 'content'"};
     Prompt += Message["content"].get<std::string>();
   }
   return Prompt;
@@ -115,8 +115,7 @@
   if (!IsReady_())
     return refused(ResultCode::NotReady);
   if (Services_.Freshness_.overdue(BootClock::now()))
-    return refused(ResultCode::ConfigurationStale,
-                   "a newer configuration is overdue");
+    return refused(ResultCode::ConfigurationStale, "a newer one is overdue");
   if (auto Refusal = checkRoute(Context))
     return Refusal;
   if (Context.Route_->Forwarding_)
@@ -183,7 +182,7 @@
   auto Timeout = Rule.Timeout_;
   if (Context.Call_.Timeout_) {
     Timeout = std::min(Timeout, *Context.Call_.Timeout_);
-    Context.SinceFirstAttempt_ = Usual_.sinceFirstAttempt(
+    Context.SinceFirstAttempt_ = RetryDetector_.sinceFirstAttempt(
         Context.Route_->Name_, *Context.Call_.Timeout_, Context.Started_);
   }
   Context.Deadline_ = Context.Started_ + Timeout;
@@ -194,15 +193,14 @@
     return std::nullopt;
   std::string_view Authorization = Request.field("authorization");
   if (!Authorization.starts_with(BearerPrefix))
-    return refusedIfFresh(ResultCode::UnknownCustomer,
-                          "no bearer key in the authorization field");
+    return refusedIfFresh(ResultCode::UnknownCustomer, "no bearer key");
   Authorization.remove_prefix(BearerPrefix.size());
   Context.KeyDigest_ = sha256Hex(Authorization);
   Context.Customer_ =
       Context.document().customerByKeyDigest(Context.KeyDigest_);
   if (!Context.Customer_)
     return refusedIfFresh(ResultCode::UnknownCustomer, "");
-  return checkCallerStillAllowed(Context);
+  return recheckCallerKey(Context);
 }
 
 /// Selects one of the route's pools in proportion to their weights. Requests of
@@ -231,8 +229,7 @@
   const HttpRequest &Request = Context.Exchange_.request();
   std::string_view Authorization = Request.field("authorization");
   if (!Authorization.starts_with(BearerPrefix))
-    return refused(ResultCode::UnknownCustomer,
-                   "no bearer key in the authorization field");
+    return refused(ResultCode::UnknownCustomer, "no bearer key");
   Authorization.remove_prefix(BearerPrefix.size());
   Context.Customer_ =
       Context.document().customerByKeyDigest(sha256Hex(Authorization));
@@ -275,10 +272,10 @@
   Json Body = parseBody(Request.Body_);
   if (!Body.is_object())
     return refused(ResultCode::MalformedRequest,
-                   "the body is not a JSON object or is nested too deeply");
+                   "the body is no JSON object, or nests too deeply");
   auto Model = Body.find("model");
   if (Model == Body.end() || !Model->is_string())
-    return refused(ResultCode::MalformedRequest, "'model' must be a string");
+    return refused(ResultCode::MalformedRequest, "'model' must be a text");
   auto Stream = Body.find("stream");
   if (Stream != Body.end() && !Stream->is_boolean())
     return refused(ResultCode::MalformedRequest,
@@ -301,7 +298,7 @@
   if (Limit != Body.end()) {
     if (!Limit->is_number_integer() || Limit->get<std::int64_t>() < 1)
       return refused(ResultCode::MalformedRequest,
-                     "'max_tokens' must be a positive integer");
+                     "'max_tokens' must be a whole number from 1");
     Answer = Limit->get<std::int64_t>();
   }
   Context.AnswerTokens_ = Tokens(Answer);
--- a/Source/Request/CallerService.h
+++ b/Source/Request/CallerService.h
@@ -29,7 +29,7 @@
   std::optional<Verdict> checkModelBody(RequestContext &Context) const;
 
   RequestServices Services_;
-  UsualTimeouts Usual_;
+  RetryDetector RetryDetector_;
   std::function<bool()> IsReady_;
   std::function<RequestId()> NextId_;
 };
--- a/Source/Request/ClaimStore.cpp
+++ b/Source/Request/ClaimStore.cpp
@@ -90,7 +90,7 @@
   Write.Value_ = encodeClaim(Wanted);
   Write.TimeToLive_ = Options_.Retention_;
   std::string LastError;
-  for (int Try = 0; Try < Options_.ReadBackTries_; ++Try) {
+  for (int Try = 0; Try < Options_.MaxClaimAttempts_; ++Try) {
     auto Written = co_await Platform_.Put_(Write);
     if (Written) {
       Wanted.Position_ = *Written;
@@ -113,7 +113,7 @@
   Write.Value_ = encodeClaim(Ended);
   Write.Expected_ = Ended.Position_;
   Write.TimeToLive_ = Options_.Retention_;
-  for (int Try = 0; Try < Options_.FinishTries_; ++Try) {
+  for (int Try = 0; Try < Options_.MaxFinishAttempts_; ++Try) {
     auto Written = co_await Platform_.Put_(Write);
     // A conflict can only come from an earlier attempt of this loop, since only
     // the owner writes to a claim.
@@ -128,13 +128,13 @@
 /// Deletes the claim only if it belongs to this attempt: the key may have been
 /// released before and claimed by another attempt since.
 Awaitable<void> ClaimStore::release(ClaimKey Key, Claim Unused,
-                                    bool MayLandLate) {
-  for (int Try = 0; Try < Options_.FinishTries_; ++Try) {
+                                    bool MayTakeEffectLate) {
+  for (int Try = 0; Try < Options_.MaxFinishAttempts_; ++Try) {
     auto Present = co_await find(Key);
     bool Absent = Present && !*Present;
     bool OwnedByOther =
         Present && *Present && (*Present)->Attempt_ != Unused.Attempt_;
-    if (OwnedByOther || (Absent && !MayLandLate))
+    if (OwnedByOther || (Absent && !MayTakeEffectLate))
       co_return;
     if (Present && *Present) {
       auto Deleted =
--- a/Source/Request/ClaimStore.h
+++ b/Source/Request/ClaimStore.h
@@ -38,10 +38,10 @@
   struct Options {
     std::chrono::milliseconds Retention_{24 * 3600 * 1000};
     /// Attempts to create a claim, each followed by a read-back on failure.
-    int ReadBackTries_ = 3;
+    int MaxClaimAttempts_ = 3;
     std::chrono::milliseconds RetryDelay_{50};
     /// Attempts to store an answer or to release a claim.
-    int FinishTries_ = 40;
+    int MaxFinishAttempts_ = 40;
     std::chrono::milliseconds FinishDelay_{500};
     /// A larger answer is not stored; a retry then gets outcome "unknown".
     std::size_t MaxAnswerBytes_ = 256 * 1024;
@@ -58,13 +58,13 @@
   /// Fails with ClaimFailed when the owner can't be determined; the caller
   /// must not dispatch the request then.
   Awaitable<Result<Claim>> claim(ClaimKey Key, Claim Wanted);
-  /// Stores how the claimed run ended. Retries FinishTries_ times, then logs
-  /// the failure.
+  /// Stores how the claimed run ended. Retries MaxFinishAttempts_ times, then
+  /// logs the failure.
   Awaitable<void> finish(ClaimKey Key, Claim Ended);
-  /// Deletes a claim whose request was never dispatched. Retries FinishTries_
-  /// times. With \p MayLandLate, the create itself may still take effect, so
-  /// that an absent claim doesn't end the retries.
-  Awaitable<void> release(ClaimKey Key, Claim Unused, bool MayLandLate);
+  /// Deletes a claim whose request was never dispatched. Retries
+  /// MaxFinishAttempts_ times. With \p MayTakeEffectLate, the create itself may
+  /// still take effect, so that an absent claim doesn't end the retries.
+  Awaitable<void> release(ClaimKey Key, Claim Unused, bool MayTakeEffectLate);
 
 private:
   Awaitable<void> pause(std::chrono::milliseconds Time);
--- a/Source/Request/FinalAnswer.cpp
+++ b/Source/Request/FinalAnswer.cpp
@@ -50,7 +50,7 @@
   }
 }
 
-std::chrono::milliseconds usualRetryAfter(ResultCode Code) {
+std::chrono::milliseconds defaultRetryAfter(ResultCode Code) {
   constexpr std::chrono::milliseconds AtAnotherDaemon{60};
   constexpr std::chrono::milliseconds AtAnotherServer{200};
   /// After a power loss all daemons start together, and are ready soon.
@@ -74,9 +74,9 @@
 
 Verdict::Verdict(ResultCode Code, std::string Detail)
     : Code_(Code), Detail_(std::move(Detail)),
-      RetryAfter_(usualRetryAfter(Code)) {}
+      RetryAfter_(defaultRetryAfter(Code)) {}
 
-bool comesBack(const Verdict &Ended) {
+bool isRetryable(const Verdict &Ended) {
   int Number = static_cast<int>(Ended.Code_);
   bool Overload = Number >= 200 && Number < 300;
   bool Claim = Ended.Code_ == ResultCode::ClaimFailed ||
@@ -96,7 +96,7 @@
   Error["advice"] = Info.Advice_;
   if (!Ended.Detail_.empty())
     Error["detail"] = Ended.Detail_;
-  if (comesBack(Ended))
+  if (isRetryable(Ended))
     Error["retryAfterMs"] = Ended.RetryAfter_.count();
   nlohmann::ordered_json Body;
   Body["error"] = std::move(Error);
@@ -109,7 +109,7 @@
   HttpResponse Response =
       jsonResponse(httpStatus(Ended.Code_), errorBody(Ended));
   addOutcomeFields(Response, Id, Ended.Outcome_, Ended.Code_);
-  if (!comesBack(Ended))
+  if (!isRetryable(Ended))
     return Response;
   std::chrono::duration<double> Exact = Ended.RetryAfter_;
   auto Seconds = std::chrono::ceil<std::chrono::seconds>(Ended.RetryAfter_);
--- a/Source/Request/FinalAnswer.h
+++ b/Source/Request/FinalAnswer.h
@@ -29,10 +29,10 @@
 /// \returns how long a caller should wait before it retries, when nothing more
 /// specific is known. Conditions of this daemon alone get a very short delay,
 /// since another daemon can serve the retry.
-std::chrono::milliseconds usualRetryAfter(ResultCode Code);
+std::chrono::milliseconds defaultRetryAfter(ResultCode Code);
 /// \returns true when a later retry can succeed, so that the answer carries
 /// Retry-After.
-bool comesBack(const Verdict &Ended);
+bool isRetryable(const Verdict &Ended);
 /// \returns the JSON body of an error in the format of the OpenAI API, extended
 /// by outcome and code.
 std::string errorBody(const Verdict &Ended);
--- a/Source/Request/ForwardedCall.cpp
+++ b/Source/Request/ForwardedCall.cpp
@@ -61,9 +61,9 @@
 
   Awaitable<void> run() {
     auto Now = steady_clock::now();
-    Context_.Services_.Repeats_.noteRequest(Context_.Pool_->Name_, Now);
+    Context_.Services_.RetryBudget_.recordRequest(Context_.Pool_->Name_, Now);
     while (true) {
-      SeekOptions Options = seekOptions();
+      ObtainOptions Options = obtainOptions();
       auto Obtained = co_await obtainServer(Context_, std::move(Options));
       if (auto *Refused = std::get_if<Verdict>(&Obtained)) {
         Verdict Ended = std::move(*Refused);
@@ -85,11 +85,11 @@
 private:
   bool isStream() const { return Rule_.Kind_ == RequestKind::Stream; }
 
-  SeekOptions seekOptions() {
-    SeekOptions Options;
-    Options.MaxIdle_ = Rule_.repeatable() ? RetryableMaxIdle : ProvedMaxIdle;
+  ObtainOptions obtainOptions() {
+    ObtainOptions Options;
+    Options.MaxIdle_ = Rule_.retryable() ? RetryableMaxIdle : TrustedMaxIdle;
     Options.Excluded_ = TriedServers_;
-    Options.Repeat_ = Sends_ > 0;
+    Options.IsRetry_ = Sends_ > 0;
     Options.BeforeDispatch_ = [this] { return recheckCaller(); };
     return Options;
   }
@@ -98,7 +98,7 @@
   /// waited for its grant, the key may have been revoked, or the process may
   /// have been paused so long that its configuration may be out of date.
   std::optional<Verdict> recheckCaller() const {
-    return checkCallerStillAllowed(Context_);
+    return recheckCallerKey(Context_);
   }
 
   Awaitable<AttemptEnd> attempt() {
@@ -126,11 +126,11 @@
     if (Labels.NotRun_)
       co_return co_await refusedByServer(std::move(*Head));
     bool Success = Head->Status_ < StatusMultipleChoices;
-    if (Success && !Labels.Proved_)
-      co_return failed({ResultCode::CrossedAnswer, "answer carries no proof"});
+    if (Success && !Labels.HasProof_)
+      co_return failed({ResultCode::CrossedAnswer, "answer without proof"});
     if (isStream() && Success)
       co_return co_await relayEvents(std::move(*Head));
-    co_return co_await relayWhole(std::move(*Head));
+    co_return co_await relayAnswer(std::move(*Head));
   }
 
   HttpRequest forwardedRequest() {
@@ -154,7 +154,7 @@
   milliseconds headTimeout() const {
     auto Left = Context_.remaining();
     bool Last = Sends_ >= static_cast<int>(Rule_.MaxAttempts_);
-    if (Last || !Rule_.repeatable())
+    if (Last || !Rule_.retryable())
       return isStream() ? std::min(Left, callerPatience(Rule_)) : Left;
     return isStream() ? std::min(Left, ResumeAfterSilence)
                       : Left / FirstAttemptDivisor;
@@ -172,7 +172,7 @@
   /// the server stop. A request that must not be retried runs to its end
   /// instead: the effects of an interrupted run would be unknown.
   void watchCaller() {
-    bool MayInterrupt = Rule_.repeatable() || isStream();
+    bool MayInterrupt = Rule_.retryable() || isStream();
     Context_.Exchange_.onCallerLeft([Weak = weak_from_this(), MayInterrupt] {
       if (auto Self = Weak.lock())
         Self->handleCallerLeft(MayInterrupt);
@@ -219,15 +219,14 @@
   }
 
   void releaseConnection() {
-    Context_.Services_.Connections_.giveBack(Ready_.Server_.Address_,
-                                             std::move(Ready_.Connection_));
+    Context_.Services_.Connections_.returnConnection(
+        Ready_.Server_.Address_, std::move(Ready_.Connection_));
   }
 
-  Awaitable<AttemptEnd> relayWhole(HttpResponse Answer) {
+  Awaitable<AttemptEnd> relayAnswer(HttpResponse Answer) {
     bool Whole = co_await readBody(Answer);
     if (!Whole)
-      co_return failed({ResultCode::ConnectionLost,
-                        "connection closed before the end of the answer"});
+      co_return failed({ResultCode::ConnectionLost, "answer broke off"});
     releaseConnection();
     if (promisesNotRun(Answer.Status_)) {
       // The request may have run, but the caller would take this status for a
@@ -269,20 +268,20 @@
         co_return failed(Received.error());
       if (Received->empty())
         break;
-      Context_.Pace_.event(Context_.Started_, steady_clock::now());
+      Context_.StreamTiming_.event(Context_.Started_, steady_clock::now());
       if (FirstEvent_ == TimePoint())
         recordFirstEvent();
       std::string Ready = Splitter_.feed(*Received);
       if (!Rule_.Resumable_) {
         Ready = std::move(*Received);
-        Splitter_.dropRest();
+        Splitter_.dropPartialEvent();
       }
       bool Written = co_await writeEvents(Head, std::move(Ready));
       if (!Written)
         co_return writeFailed();
     }
     releaseConnection();
-    std::string Rest = Splitter_.rest();
+    std::string Rest = Splitter_.partialEvent();
     bool Written = co_await writeEvents(Head, std::move(Rest));
     if (Written)
       Written = co_await Context_.Exchange_.endStream();
@@ -328,13 +327,13 @@
       Sample.FirstToken_ =
           duration_cast<microseconds>(FirstEvent_ - Dispatched_);
       auto Events = static_cast<std::int64_t>(Splitter_.count());
-      Sample.AtOnce_ = Tokens(Context_.Pool_->TokensPerEvent_);
-      Sample.Generated_ = Tokens(Events * Sample.AtOnce_.count());
+      Sample.FirstEventTokens_ = Tokens(Context_.Pool_->TokensPerEvent_);
+      Sample.Generated_ = Tokens(Events * Sample.FirstEventTokens_.count());
     }
-    Context_.Pace_.Events_ = Splitter_.count();
+    Context_.StreamTiming_.Events_ = Splitter_.count();
     Context_.Services_.Grants_.done(Context_.Id_, Sample);
     TriedServers_.push_back(Ready_.Server_.Name_);
-    Splitter_.dropRest();
+    Splitter_.dropPartialEvent();
   }
 
   bool mayRetry(AttemptEnd Ended) {
@@ -343,11 +342,11 @@
     if (Ended == AttemptEnd::NotRun) {
       if (++Refusals_ > MaxRefusals)
         return false;
-    } else if (!Rule_.repeatable() || !canContinue(Ended) ||
+    } else if (!Rule_.retryable() || !canContinue(Ended) ||
                ++Runs_ >= static_cast<int>(Rule_.MaxAttempts_)) {
       return false;
     }
-    return Context_.Services_.Repeats_.tryRepeat(
+    return Context_.Services_.RetryBudget_.tryRetry(
         Context_.Pool_->Name_, Context_.Services_.FleetSize_(),
         steady_clock::now());
   }
--- a/Source/Request/ForwardingDialect.cpp
+++ b/Source/Request/ForwardingDialect.cpp
@@ -43,11 +43,11 @@
   Labels.CallId_ = fieldOrEmpty(Head.Fields_, "x-call-id");
   Labels.Replaced_ = Head.Status_ == StatusMisdirected;
   Labels.NotRun_ = Head.Fields_.contains("x-not-run") || Labels.Replaced_;
-  Labels.Proved_ = Head.Fields_.contains("x-answer-proof");
+  Labels.HasProof_ = Head.Fields_.contains("x-answer-proof");
   return Labels;
 }
 
-void nameAnswer(HttpFields &Fields, const std::string &CallId) {
+void addCallId(HttpFields &Fields, const std::string &CallId) {
   if (!CallId.empty())
     Fields["x-call-id"] = CallId;
 }
@@ -88,12 +88,12 @@
   return Parts;
 }
 
-ForwardingDialect ownDialect() {
+ForwardingDialect defaultDialect() {
   ForwardingDialect Dialect;
   Dialect.ReadCall_ = readCall;
   Dialect.WriteForward_ = writeForward;
   Dialect.ReadAnswer_ = readAnswer;
-  Dialect.NameAnswer_ = nameAnswer;
+  Dialect.AddCallId_ = addCallId;
   return Dialect;
 }
 
--- a/Source/Request/ForwardingDialect.h
+++ b/Source/Request/ForwardingDialect.h
@@ -24,7 +24,7 @@
   std::optional<Tokens> Prompt_;
   std::optional<Tokens> MaxAnswer_;
   /// The caller's estimate of the answer's length; often far off.
-  std::optional<Tokens> GuessedAnswer_;
+  std::optional<Tokens> EstimatedAnswer_;
   std::vector<PromptPart> Parts_;
 };
 
@@ -44,7 +44,7 @@
   /// Another server answered at this address; the intended one is gone.
   bool Replaced_ = false;
   /// The answer carries the server's proof of authenticity.
-  bool Proved_ = false;
+  bool HasProof_ = false;
   /// Requests queued in the server, if it reports them.
   std::optional<std::uint32_t> Waiting_;
 };
@@ -56,7 +56,7 @@
   std::function<void(HttpFields &, const ForwardLabels &)> WriteForward_;
   std::function<AnswerLabels(const HttpResponse &)> ReadAnswer_;
   /// Adds the call id to an answer that the daemon generates itself.
-  std::function<void(HttpFields &, const std::string &CallId)> NameAnswer_;
+  std::function<void(HttpFields &, const std::string &CallId)> AddCallId_;
   /// Retry-After may have a fraction of a second.
   bool FractionalRetryAfter_ = false;
 };
@@ -64,7 +64,7 @@
 /// \returns the default dialect, with the fields x-call-id,
 /// x-request-timeout-ms, x-prompt-tokens, x-answer-tokens, x-prompt-parts
 /// (HEX:TOKENS,...), x-expect-server, x-customer, x-not-run, x-answer-proof.
-ForwardingDialect ownDialect();
+ForwardingDialect defaultDialect();
 
 /// Parses "HEX:TOKENS,HEX:TOKENS". The list ends before the first item that
 /// is malformed.
--- a/Source/Request/GrantWait.cpp
+++ b/Source/Request/GrantWait.cpp
@@ -20,7 +20,7 @@
     : Executor_(Executor), Grants_(Grants), Id_(Id), Signal_(Executor) {}
 
 Awaitable<std::optional<GrantAnswer>>
-GrantWait::wait(CellId Cell, AskedRequest Request, TimePoint Deadline) {
+GrantWait::wait(CellId Cell, GrantRequest Request, TimePoint Deadline) {
   Answer_.reset();
   if (CallerLeft_)
     co_return std::nullopt;
--- a/Source/Request/GrantWait.h
+++ b/Source/Request/GrantWait.h
@@ -24,7 +24,7 @@
   /// Requests a grant and waits until \p Deadline. \returns nothing when it
   /// passed or the caller disconnected; the grant request is withdrawn then,
   /// and a grant that still comes is returned to the keeper.
-  Awaitable<std::optional<GrantAnswer>> wait(CellId Cell, AskedRequest Request,
+  Awaitable<std::optional<GrantAnswer>> wait(CellId Cell, GrantRequest Request,
                                              TimePoint Deadline);
   /// Ends the wait because the caller disconnected.
   void callerLeft();
--- a/Source/Request/ModelCall.cpp
+++ b/Source/Request/ModelCall.cpp
@@ -69,8 +69,8 @@
 
   Awaitable<void> run() {
     Streaming_ = wantsStream();
-    SeekOptions Options;
-    Options.MaxIdle_ = ProvedMaxIdle;
+    ObtainOptions Options;
+    Options.MaxIdle_ = TrustedMaxIdle;
     auto Obtained = co_await obtainServer(Context_, std::move(Options));
     if (auto *Refused = std::get_if<Verdict>(&Obtained)) {
       Verdict Ended = std::move(*Refused);
@@ -374,8 +374,8 @@
   }
 
   Awaitable<void> answerComplete() {
-    Context_.Services_.Connections_.giveBack(Ready_.Server_.Address_,
-                                             std::move(Ready_.Connection_));
+    Context_.Services_.Connections_.returnConnection(
+        Ready_.Server_.Address_, std::move(Ready_.Connection_));
     if (Streaming_) {
       // The outcome is sent as a comment, which clients of the OpenAI API
       // ignore.
--- a/Source/Request/RequestContext.cpp
+++ b/Source/Request/RequestContext.cpp
@@ -57,9 +57,9 @@
   return {Context.document().Service_, Context.Pool_->Name_, Index};
 }
 
-AskedRequest makeGrantRequest(const RequestContext &Context,
+GrantRequest makeGrantRequest(const RequestContext &Context,
                               const std::vector<ServerName> &Excluded) {
-  AskedRequest Request;
+  GrantRequest Request;
   Request.Id_ = Context.Id_;
   Request.Tier_ = Context.Tier_;
   if (Context.Customer_)
@@ -79,7 +79,8 @@
     Request.Objective_ = Plan.Objective_;
     Request.MaxWait_ = Plan.MaxWait_;
     Request.MaxPause_ = Rule.MaxEventGap_;
-    Request.Guessed_ = Context.Call_.GuessedAnswer_.value_or(Tokens(0));
+    Request.EstimatedAnswer_ =
+        Context.Call_.EstimatedAnswer_.value_or(Tokens(0));
   }
   return Request;
 }
@@ -97,9 +98,9 @@
 
 Lateness latenessNow(const RequestContext &Context, TimePoint Now) {
   AnswerTimes Times;
-  Times.First_ = Context.Pace_.FirstEvent_.value_or(
+  Times.First_ = Context.StreamTiming_.FirstEvent_.value_or(
       duration_cast<milliseconds>(Now - Context.Started_));
-  Times.LongestPause_ = Context.Pace_.LongestPause_;
+  Times.LongestPause_ = Context.StreamTiming_.LongestPause_;
   Times.SinceFirstAttempt_ = Context.SinceFirstAttempt_;
   return latenessOf(*Context.Route_->Forwarding_, Times);
 }
@@ -145,12 +146,13 @@
       Context.Route_->Forwarding_)
     Fields.emplace_back("late",
                         std::string(latenessName(latenessNow(Context, Now))));
-  if (Context.Pace_.FirstEvent_) {
+  if (Context.StreamTiming_.FirstEvent_) {
     Fields.emplace_back("first_event_ms",
-                        millisText(*Context.Pace_.FirstEvent_));
+                        millisText(*Context.StreamTiming_.FirstEvent_));
     Fields.emplace_back("longest_pause_ms",
-                        millisText(Context.Pace_.LongestPause_));
-    Fields.emplace_back("events", std::to_string(Context.Pace_.Events_));
+                        millisText(Context.StreamTiming_.LongestPause_));
+    Fields.emplace_back("events",
+                        std::to_string(Context.StreamTiming_.Events_));
   }
   if (Context.SinceFirstAttempt_.count() > 0)
     Fields.emplace_back("first_attempt_ms_ago",
@@ -158,9 +160,10 @@
   if (Context.PromptTokens_.count() > 0)
     Fields.emplace_back("prompt_tokens",
                         std::to_string(Context.PromptTokens_.count()));
-  if (Context.Call_.GuessedAnswer_)
-    Fields.emplace_back("guessed_tokens",
-                        std::to_string(Context.Call_.GuessedAnswer_->count()));
+  if (Context.Call_.EstimatedAnswer_)
+    Fields.emplace_back(
+        "guessed_tokens",
+        std::to_string(Context.Call_.EstimatedAnswer_->count()));
   if (Context.Deadline_ != TimePoint())
     Fields.emplace_back("left_ms", millisText(Context.Deadline_ - Now));
   logEvent(LogCategory::Request, Level, "ended", Fields);
@@ -170,7 +173,7 @@
 
 } // namespace
 
-void StreamPace::event(TimePoint Started, TimePoint Now) {
+void StreamTiming::event(TimePoint Started, TimePoint Now) {
   if (!FirstEvent_)
     FirstEvent_ = duration_cast<milliseconds>(Now - Started);
   else
@@ -189,7 +192,7 @@
 }
 
 Awaitable<std::variant<ReadyServer, Verdict>>
-obtainServer(RequestContext &Context, SeekOptions Options) {
+obtainServer(RequestContext &Context, ObtainOptions Options) {
   GrantClient &Grants = Context.Services_.Grants_;
   auto Wait = GrantWait::create(co_await boost::asio::this_coro::executor,
                                 Grants, Context.Id_);
@@ -205,9 +208,9 @@
   for (int Try = 0; Try < MaxGrantRequests && !Context.expired(); ++Try) {
     std::size_t SpanNumber = Context.Trace_.begin("wait-for-grant");
     CellId Cell = cellFor(Context, static_cast<int>(CellTries));
-    AskedRequest Request = makeGrantRequest(Context, Excluded);
-    Request.AskedBefore_ = CellTries > 0 || Options.Repeat_ ||
-                           Context.SinceFirstAttempt_.count() > 0;
+    GrantRequest Request = makeGrantRequest(Context, Excluded);
+    Request.IsRetry_ = CellTries > 0 || Options.IsRetry_ ||
+                       Context.SinceFirstAttempt_.count() > 0;
     auto Answer = co_await Wait->wait(std::move(Cell), std::move(Request),
                                       Context.Deadline_);
     Context.Trace_.end(SpanNumber);
@@ -273,7 +276,7 @@
     }
     // This process may have been paused anywhere above until after the
     // deadline.
-    bool MayDispatch = Options.Repeat_ || Context.State_.tryDispatch();
+    bool MayDispatch = Options.IsRetry_ || Context.State_.tryDispatch();
     if (Context.expired() || !MayDispatch) {
       Grants.done(Context.Id_, ServedSample());
       Ended = notRun(ResultCode::DeadlineInQueue);
@@ -309,7 +312,7 @@
   return Forwarded;
 }
 
-std::optional<Verdict> checkCallerStillAllowed(const RequestContext &Context) {
+std::optional<Verdict> recheckCallerKey(const RequestContext &Context) {
   if (!Context.Customer_)
     return std::nullopt;
   if (!Context.Services_.Freshness_.valid(BootClock::now()))
@@ -355,8 +358,8 @@
     shortenRetryAfter(Context, Ended);
   HttpResponse Response = finalResponse(
       Context.Id_, Ended, Context.Services_.Dialect_.FractionalRetryAfter_);
-  Context.Services_.Dialect_.NameAnswer_(Response.Fields_,
-                                         Context.Call_.CallId_);
+  Context.Services_.Dialect_.AddCallId_(Response.Fields_,
+                                        Context.Call_.CallId_);
   co_await Context.Exchange_.respond(std::move(Response));
   reportEnd(Context, Ended.Outcome_, Ended.Code_);
 }
@@ -374,8 +377,8 @@
   Report.Total_ =
       duration_cast<microseconds>(steady_clock::now() - Context.Started_);
   Report.Waited_ = Context.Waited_;
-  Report.FirstEvent_ = Context.Pace_.FirstEvent_;
-  Report.LongestPause_ = Context.Pace_.LongestPause_;
+  Report.FirstEvent_ = Context.StreamTiming_.FirstEvent_;
+  Report.LongestPause_ = Context.StreamTiming_.LongestPause_;
   Context.Services_.Report_(Report);
   Context.Trace_.attribute(Trace::Root, "outcome",
                            std::string(outcomeName(Value)));
--- a/Source/Request/RequestContext.h
+++ b/Source/Request/RequestContext.h
@@ -8,8 +8,8 @@
 #include "Request/ClaimStore.h"
 #include "Request/FinalAnswer.h"
 #include "Request/ForwardingDialect.h"
-#include "Request/RepeatBudget.h"
 #include "Request/RequestState.h"
+#include "Request/RetryBudget.h"
 #include "Request/Trace.h"
 #include "Version/DocumentStore.h"
 
@@ -46,7 +46,7 @@
   // Used for forwarded requests only.
   const ForwardingDialect &Dialect_;
   const FreshnessLease &Freshness_;
-  RepeatBudget &Repeats_;
+  RetryBudget &RetryBudget_;
   /// \returns false for a request that the shutdown of this daemon would
   /// interrupt.
   std::function<bool(const ForwardingRule &)> HasTimeFor_;
@@ -55,7 +55,7 @@
 };
 
 /// Timing of a stream's events as its caller sees them.
-struct StreamPace {
+struct StreamTiming {
   std::optional<std::chrono::milliseconds> FirstEvent_; ///< Since the start.
   std::chrono::milliseconds LongestPause_{0};
   std::size_t Events_ = 0;
@@ -91,7 +91,7 @@
   RequestState State_;
   Trace Trace_;
   std::chrono::microseconds Waited_{0};
-  StreamPace Pace_;
+  StreamTiming StreamTiming_;
   /// Servers that the request was dispatched to, in order.
   std::vector<ServerName> Servers_;
 
@@ -111,7 +111,7 @@
 using BeforeConnect = std::function<Awaitable<std::optional<Verdict>>()>;
 
 /// Options for obtainServer().
-struct SeekOptions {
+struct ObtainOptions {
   /// An idle connection is reused only if its last answer is no older than
   /// this; 0 disables reuse.
   std::chrono::milliseconds MaxIdle_{0};
@@ -121,14 +121,14 @@
   std::function<std::optional<Verdict>()> BeforeDispatch_;
   std::vector<ServerName> Excluded_;
   /// The request was dispatched before and may be dispatched again.
-  bool Repeat_ = false;
+  bool IsRetry_ = false;
 };
 
 /// Obtains a grant and a connection. Tries further servers as long as no byte
 /// was sent. On return the request is either dispatched or given up; at no time
 /// is more than one grant requested for it.
 Awaitable<std::variant<ReadyServer, Verdict>>
-obtainServer(RequestContext &Context, SeekOptions Options);
+obtainServer(RequestContext &Context, ObtainOptions Options);
 
 /// Removes hop-by-hop fields, and Content-Length, which is computed again when
 /// the message is sent.
@@ -139,7 +139,7 @@
 /// Checks the caller's key again. \returns a verdict when the newest
 /// configuration no longer has the key, or when the daemon's configuration may
 /// be out of date.
-std::optional<Verdict> checkCallerStillAllowed(const RequestContext &Context);
+std::optional<Verdict> recheckCallerKey(const RequestContext &Context);
 
 /// \returns the request for the backend server: the end-to-end fields, and the
 /// request's id, customer and trace.
--- a/Source/Request/RepeatBudget.cpp
+++ b/Source/Request/RetryBudget.cpp
@@ -1,4 +1,4 @@
-#include "Request/RepeatBudget.h"
+#include "Request/RetryBudget.h"
 
 #include <algorithm>
 
@@ -13,24 +13,24 @@
 
 } // namespace
 
-RepeatBudget::Counts &RepeatBudget::countsOf(const PoolName &Pool) {
+RetryBudget::Counts &RetryBudget::countsOf(const PoolName &Pool) {
   return Pools_.try_emplace(Pool, Options_.Window_).first->second;
 }
 
-void RepeatBudget::noteRequest(const PoolName &Pool, TimePoint Now) {
+void RetryBudget::recordRequest(const PoolName &Pool, TimePoint Now) {
   countsOf(Pool).Requests_.add(Now);
 }
 
-bool RepeatBudget::tryRepeat(const PoolName &Pool, std::size_t Daemons,
-                             TimePoint Now) {
+bool RetryBudget::tryRetry(const PoolName &Pool, std::size_t Daemons,
+                           TimePoint Now) {
   Counts &PoolCounts = countsOf(Pool);
-  double Extra =
-      Options_.Extra_ / static_cast<double>(std::max<std::size_t>(1, Daemons));
+  double Extra = Options_.Allowance_ /
+                 static_cast<double>(std::max<std::size_t>(1, Daemons));
   double Allowed =
       UsedFraction * (Options_.Ratio_ * PoolCounts.Requests_.sum(Now) + Extra);
-  if (PoolCounts.Repeats_.sum(Now) + 1 > Allowed)
+  if (PoolCounts.RetryBudget_.sum(Now) + 1 > Allowed)
     return false;
-  PoolCounts.Repeats_.add(Now);
+  PoolCounts.RetryBudget_.add(Now);
   return true;
 }
 
--- a/Source/Request/RepeatBudget.h
+++ b/Source/Request/RetryBudget.h
@@ -16,7 +16,7 @@
 
 namespace samphireshunt {
 
-class RepeatBudget {
+class RetryBudget {
 public:
   using TimePoint = std::chrono::steady_clock::time_point;
 
@@ -24,25 +24,25 @@
     /// Retries per request within the window.
     double Ratio_ = 0.2;
     /// Additional retries within the window, for the whole fleet together.
-    double Extra_ = 10;
+    double Allowance_ = 10;
     std::chrono::milliseconds Window_{10000};
   };
 
-  explicit RepeatBudget(Options Settings) : Options_(Settings) {}
+  explicit RetryBudget(Options Settings) : Options_(Settings) {}
 
   /// Counts a request of \p Pool, which extends its budget.
-  void noteRequest(const PoolName &Pool, TimePoint Now);
+  void recordRequest(const PoolName &Pool, TimePoint Now);
   /// \returns true, and counts the retry, when the budget of \p Pool allows one
   /// more in a fleet of \p Daemons daemons.
-  bool tryRepeat(const PoolName &Pool, std::size_t Daemons, TimePoint Now);
+  bool tryRetry(const PoolName &Pool, std::size_t Daemons, TimePoint Now);
 
 private:
   static constexpr std::size_t Slots = 10;
   struct Counts {
     explicit Counts(std::chrono::milliseconds Window)
-        : Requests_(Window), Repeats_(Window) {}
+        : Requests_(Window), RetryBudget_(Window) {}
     SlidingCount<Slots> Requests_;
-    SlidingCount<Slots> Repeats_;
+    SlidingCount<Slots> RetryBudget_;
   };
   Counts &countsOf(const PoolName &Pool);
 
--- a/Source/Request/WaitPlan.cpp
+++ b/Source/Request/WaitPlan.cpp
@@ -26,18 +26,18 @@
 
 } // namespace
 
-milliseconds UsualTimeouts::sinceFirstAttempt(const std::string &Route,
+milliseconds RetryDetector::sinceFirstAttempt(const std::string &Route,
                                               milliseconds Stated,
                                               TimePoint Now) {
   if (ByRoute_.size() > MaxRoutes)
     ByRoute_.clear();
-  Longest &Known = ByRoute_[Route];
-  if (Now - Known.Since_ > RememberTime) {
-    Known.Before_ = std::exchange(Known.Now_, milliseconds(0));
-    Known.Since_ = Now;
+  LongestTimeout &Known = ByRoute_[Route];
+  if (Now - Known.PeriodStart_ > RememberTime) {
+    Known.Previous_ = std::exchange(Known.Current_, milliseconds(0));
+    Known.PeriodStart_ = Now;
   }
-  Known.Now_ = std::max(Known.Now_, Stated);
-  milliseconds Usual = std::max(Known.Now_, Known.Before_);
+  Known.Current_ = std::max(Known.Current_, Stated);
+  milliseconds Usual = std::max(Known.Current_, Known.Previous_);
   milliseconds Elapsed = Usual - Stated;
   return Elapsed > Usual / RetryGapDivisor ? Elapsed : milliseconds(0);
 }
--- a/Source/Request/WaitPlan.h
+++ b/Source/Request/WaitPlan.h
@@ -20,7 +20,7 @@
 
 /// Detects retries by the timeout that a request states: callers state the same
 /// timeout in each first attempt, and the remaining time in a retry.
-class UsualTimeouts {
+class RetryDetector {
 public:
   /// \returns the time since the caller's first attempt; 0 if this is the first
   /// attempt.
@@ -29,12 +29,12 @@
                                               TimePoint Now);
 
 private:
-  struct Longest {
-    std::chrono::milliseconds Now_{0};
-    std::chrono::milliseconds Before_{0};
-    TimePoint Since_;
+  struct LongestTimeout {
+    std::chrono::milliseconds Current_{0};
+    std::chrono::milliseconds Previous_{0};
+    TimePoint PeriodStart_;
   };
-  std::map<std::string, Longest> ByRoute_;
+  std::map<std::string, LongestTimeout> ByRoute_;
 };
 
 struct WaitPlan {
--- a/Source/Version/Document.cpp
+++ b/Source/Version/Document.cpp
@@ -28,7 +28,7 @@
 }
 
 const Document::RoutesByPrefix *
-Document::routesOf(std::string_view Host) const {
+Document::routesForHost(std::string_view Host) const {
   auto Found = RoutesByHost_.find(Host);
   return Found == RoutesByHost_.end() ? nullptr : &Found->second;
 }
@@ -50,8 +50,8 @@
 
 const Route *Document::route(std::string_view Path,
                              std::string_view Host) const {
-  const RoutesByPrefix *OfHost = routesOf(withoutPort(Host));
-  const RoutesByPrefix *OfAnyHost = routesOf({});
+  const RoutesByPrefix *OfHost = routesForHost(withoutPort(Host));
+  const RoutesByPrefix *OfAnyHost = routesForHost({});
   // A prefix only matches whole path segments: "/readings" must not match
   // "/readingsarchive".
   auto EndsAtSegment = [Path](std::size_t Length) {
--- a/Source/Version/Document.h
+++ b/Source/Version/Document.h
@@ -23,7 +23,7 @@
   double PerSecond_ = 0;      ///< Requests or tokens; 0 means no limit.
   double Burst_ = 0;          ///< Maximum excess over the rate at one time.
   bool CountsTokens_ = false; ///< Counts tokens instead of requests.
-  Tokens TokensOfOther_{0};   ///< Tokens charged for a request without any.
+  Tokens DefaultTokens_{0};   ///< Tokens charged for a request without any.
   bool operator==(const Allotment &) const = default;
 };
 
@@ -105,7 +105,7 @@
   std::vector<WeightedPool> Targets_;
 
   /// \returns true if a request that may have run may be sent again.
-  bool repeatable() const {
+  bool retryable() const {
     return Kind_ == RequestKind::Idempotent || Resumable_;
   }
 };
@@ -166,7 +166,7 @@
   const Route *routeWithPrefix(const RoutesByPrefix *OfHost,
                                const RoutesByPrefix *OfAnyHost,
                                std::string_view Prefix) const;
-  const RoutesByPrefix *routesOf(std::string_view Host) const;
+  const RoutesByPrefix *routesForHost(std::string_view Host) const;
 
   std::unordered_map<std::string, std::size_t> CustomerByDigest_;
   /// By host; routes for all hosts are under the empty string. A hash lookup
--- a/Source/Version/DocumentReader.cpp
+++ b/Source/Version/DocumentReader.cpp
@@ -132,7 +132,7 @@
   Finding Found;
   for (const std::string &Part : Error.context)
     if (Part != "<root>")
-      Found.Place_ += "/" + Part.substr(1, Part.size() - 2);
+      Found.Pointer_ += "/" + Part.substr(1, Part.size() - 2);
   Found.Message_ = Error.description;
   // "Object contains a property that could not be validated using [...]: 'x'"
   constexpr std::string_view Unknown = "Object contains a property";
@@ -141,7 +141,7 @@
   std::size_t End = Found.Message_.rfind('\'');
   std::size_t Start = Found.Message_.rfind('\'', End - 1) + 1;
   std::string Name = Found.Message_.substr(Start, End - Start);
-  Found.Place_ += "/" + Name;
+  Found.Pointer_ += "/" + Name;
   Found.Message_ =
       fmt::format("unknown field '{}'; correct or remove it", Name);
   return Found;
@@ -161,14 +161,14 @@
   // innermost report names the cause.
   auto IsOuter = [&Errors](const Finding &Outer) {
     return std::ranges::any_of(Errors, [&](const Finding &Inner) {
-      return Inner.Place_.size() > Outer.Place_.size() &&
-             Inner.Place_.starts_with(Outer.Place_);
+      return Inner.Pointer_.size() > Outer.Pointer_.size() &&
+             Inner.Pointer_.starts_with(Outer.Pointer_);
     });
   };
   for (const Finding &Reported : Errors)
     if (!Reported.Message_.starts_with("Failed to validate") ||
         !IsOuter(Reported))
-      Found.add(Reported.Code_, Reported.Place_, Reported.Message_);
+      Found.add(Reported.Code_, Reported.Pointer_, Reported.Message_);
 }
 
 /// Builds the typed document and checks what a schema can't express: references
--- a/Source/Version/DocumentReader.h
+++ b/Source/Version/DocumentReader.h
@@ -19,8 +19,8 @@
 /// One error in a document.
 struct Finding {
   ResultCode Code_ = ResultCode::DocumentSchema;
-  int Line_ = 0;      ///< Starts at 1; 0 if there is no such line.
-  std::string Place_; ///< A JSON pointer, e.g. "/pools/0/servers/2/address".
+  int Line_ = 0;        ///< Starts at 1; 0 if there is no such line.
+  std::string Pointer_; ///< A JSON pointer, e.g. "/pools/0/servers/2/address".
   std::string Message_;
 };
 
--- a/Source/Version/DocumentStore.cpp
+++ b/Source/Version/DocumentStore.cpp
@@ -65,19 +65,19 @@
               {"version", std::to_string(Source.Version_.count())}});
     if (!Active)
       return false;
-    Next->Services_[Service].NotUnderstood_ = Source.Version_;
+    Next->Services_[Service].UnsupportedVersion_ = Source.Version_;
     Current_.write(std::move(Next));
     return false;
   }
   ServiceConfiguration Adopted;
   Adopted.Version_ = Source.Version_;
   Adopted.Document_ = Checked->Document_;
-  Adopted.Pools_ = poolsNow(Service, *Adopted.Document_);
+  Adopted.Pools_ = poolsWithServers(Service, *Adopted.Document_);
   Adopted.Source_ = std::make_shared<VersionedDocument>(Source);
   Next->Services_[Service] = std::move(Adopted);
   Current_.write(std::move(Next));
   Lock.unlock();
-  announce(Service, Source.Version_);
+  notifyChanged(Service, Source.Version_);
   return true;
 }
 
@@ -91,12 +91,12 @@
   auto Next = std::make_shared<ConfigurationSnapshot>(*Old);
   ServiceConfiguration Adopted;
   Adopted.Version_ = Version;
-  Adopted.Pools_ = poolsNow(Service, *Read);
+  Adopted.Pools_ = poolsWithServers(Service, *Read);
   Adopted.Document_ = std::move(Read);
   Next->Services_[Service] = std::move(Adopted);
   Current_.write(std::move(Next));
   Lock.unlock();
-  announce(Service, Version);
+  notifyChanged(Service, Version);
   return true;
 }
 
@@ -104,8 +104,9 @@
 /// copied when a server changes: 52 KB for 118 servers. Copying the whole
 /// document with 4,200 routes took 1.2 MB and 19 times the processor time,
 /// twice a second while engines are replaced.
-std::vector<Pool> DocumentStore::poolsNow(const ServiceName &Service,
-                                          const Document &Adopted) const {
+std::vector<Pool>
+DocumentStore::poolsWithServers(const ServiceName &Service,
+                                const Document &Adopted) const {
   std::vector<Pool> Pools = Adopted.Pools_;
   auto Directory = Directories_.find(Service);
   if (Directory == Directories_.end())
@@ -130,7 +131,7 @@
     return;
   auto Next = std::make_shared<ConfigurationSnapshot>(*Old);
   ServiceConfiguration &Target = Next->Services_[Service];
-  Target.Pools_ = poolsNow(Service, *Target.Document_);
+  Target.Pools_ = poolsWithServers(Service, *Target.Document_);
   DocumentVersion Version = Target.Version_;
   Current_.write(std::move(Next));
   Lock.unlock();
@@ -138,8 +139,8 @@
     Changed_(Service, Version);
 }
 
-void DocumentStore::announce(const ServiceName &Service,
-                             DocumentVersion Version) {
+void DocumentStore::notifyChanged(const ServiceName &Service,
+                                  DocumentVersion Version) {
   logEvent(LogCategory::Version, spdlog::level::info, "adopted",
            {{"service", Service.str()},
             {"version", std::to_string(Version.count())}});
--- a/Source/Version/DocumentStore.h
+++ b/Source/Version/DocumentStore.h
@@ -26,7 +26,7 @@
   std::shared_ptr<const VersionedDocument> Source_;
   /// The newest version that could not be adopted because this program can't
   /// read it, e.g. because its format is newer; 0 if there is none.
-  DocumentVersion NotUnderstood_;
+  DocumentVersion UnsupportedVersion_;
 
   /// \returns null if the document has no such pool.
   const Pool *pool(const PoolName &Name) const;
@@ -78,9 +78,9 @@
   void onChanged(ChangedHook Hook) { Changed_ = std::move(Hook); }
 
 private:
-  std::vector<Pool> poolsNow(const ServiceName &Service,
-                             const Document &Adopted) const;
-  void announce(const ServiceName &Service, DocumentVersion Version);
+  std::vector<Pool> poolsWithServers(const ServiceName &Service,
+                                     const Document &Adopted) const;
+  void notifyChanged(const ServiceName &Service, DocumentVersion Version);
 
   std::mutex WriterMutex_;
   std::map<ServiceName, ServersByPool> Directories_;
--- a/Source/Version/VersionedDocument.cpp
+++ b/Source/Version/VersionedDocument.cpp
@@ -34,7 +34,7 @@
   Next.Version_ = Version_ + DocumentVersion(1);
   Next.ChangeIds_ = ChangeIds_;
   Next.ChangeIds_.push_back(std::move(ChangeId));
-  if (Next.ChangeIds_.size() > KeptChangeIds)
+  if (Next.ChangeIds_.size() > MaxChangeIds)
     Next.ChangeIds_.erase(Next.ChangeIds_.begin());
   Next.CanonicalJson_ = std::move(CanonicalJson);
   return Next;
--- a/Source/Version/VersionedDocument.h
+++ b/Source/Version/VersionedDocument.h
@@ -13,7 +13,7 @@
 
 /// Number of ids of past changes that a value contains. A writer whose answer
 /// was lost finds its id there, unless more changes than this followed.
-inline constexpr std::size_t KeptChangeIds = 64;
+inline constexpr std::size_t MaxChangeIds = 64;
 
 struct VersionedDocument {
   DocumentVersion Version_;
