--- a/Tools/mutations.sh
+++ b/Tools/mutations.sh
@@ -66,9 +66,9 @@
   's/bool NeverReceived = [^;]*;/bool NeverReceived = false;/' \
   ${F}DispatchOnceTest '*silent connection*'
 mutate close-abandoned $S/Request/ApplicationCall.cpp \
-  's/(so that no other request receives it\.\n)\s*Ready_\.Connection_->close\(\);/$1    Context_.Services_.Connections_.giveBack(Ready_.Server_.Address_, std::move(Ready_.Connection_));/' \
+  's/(so that no other request receives it\.\n)\s*Ready_\.Connection_->close\(\);/$1    Context_.Services_.Connections_.returnConnection(Ready_.Server_.Address_, std::move(Ready_.Connection_));/' \
   ${F}OwnAnswerTest '*after the deadline*' $S/Connection/BackendConnections.cpp \
-  's/Connection->lastHeard\(\) >= OldestProof && Connection->quiet\(\)/true/; s/!Connection->reusable\(\) \|\|//'
+  's/Connection->lastReceived\(\) >= OldestProof && Connection->hasNoUnexpectedInput\(\)/true/; s/!Connection->reusable\(\) \|\|//'
 mutate whole-body $S/Connection/HttpConnection.cpp \
   's/if \(Error && !BufferFull\)\s*co_return connectionFailure\(Error\);/if (Error && !BufferFull) co_return std::string();/' \
   ${F}OwnAnswerTest '*cut off is not passed*'
@@ -106,7 +106,7 @@
   's/bool Preempt_ = true/bool Preempt_ = false/' \
   ${F}TierTest '*long streams*'
 mutate floor $S/Process/Scheduling/Scheduler.cpp \
-  's/(void Scheduler::noteShed\([^{]*\{\n)/$1  return;\n/' \
+  's/(void Scheduler::handleShed\([^{]*\{\n)/$1  return;\n/' \
   ${F}TierTest '*nothing lower*'
 mutate strict-tiers $S/Process/Scheduling/Scheduler.h \
   's/bool StrictTiers_ = true/bool StrictTiers_ = false/' \
@@ -118,13 +118,13 @@
   's/!LeavingAddresses_\.contains\(Server\.Address_\)/true/' \
   ${F}LeavingTest "*platform's list lets leave*"
 mutate version-gossip $S/Process/Configuration/ConfigurationSync.cpp \
-  's/if \(Version > Known\)\s*Hooks_\.AskPeer_\(From, Service\);/(void)Known; (void)From;/' \
+  's/if \(Version > Known\)\s*Hooks_\.RequestDocument_\(From, Service\);/(void)Known; (void)From;/' \
   ${F}LeavingTest '*cut off from the platform*'
 mutate drain $S/Programs/DaemonLife.cpp \
   's/return CallerServer_->activeExchanges\(\) == 0 && Quiet;/(void)Quiet;\n  return true;/' \
   ${F}LeavingTest '*graceful stop*'
 mutate look-before-stop $S/Programs/DaemonLife.cpp \
-  's/std::vector<asio::io_context \*> Contexts\(FlushIterations.*?lookThrough\(std::move\(Contexts\)\);/onLookedAround();/s' \
+  's/std::vector<asio::io_context \*> Contexts\(FlushIterations.*?flushNextQueue\(std::move\(Contexts\)\);/onEventQueuesFlushed();/s' \
   ${F}LeavingTest '*comes due while*'
 mutate version-order $S/Version/DocumentStore.cpp \
   's/Active->Version_ >= Source\.Version_/Active->Version_ == Source.Version_/' \
@@ -142,22 +142,22 @@
   's/WatchTime_\{2500\}/WatchTime_{3600000}/' \
   ${F}ConfigurationTest '*watch that died*'
 mutate newer-format $S/Version/DocumentStore.cpp \
-  's/Next->Services_\[Service\]\.NotUnderstood_ = Source\.Version_;/Next->Services_.erase(Service);/' \
+  's/Next->Services_\[Service\]\.UnsupportedVersion_ = Source\.Version_;/Next->Services_.erase(Service);/' \
   ${F}ConfigurationTest '*newer format*'
 mutate probe-the-dead $S/Process/Membership/MemberTable.cpp \
   's/if \(auto Found = find\(Id\)\)\s*return Found;/if (auto Found = find(Id); Found \&\& Found->Status_ < MemberStatus::Dead) return Found; else if (Members_.empty()) return std::nullopt;/' \
   ${F}PartitionTest '*all cut off*'
 mutate orphans $S/Process/Keeping/EngineMonitor.cpp \
-  's/(void EngineMonitor::cleanOrphan\([^{]*\{\n)/$1  return;\n/' \
+  's/(void EngineMonitor::handleOrphan\([^{]*\{\n)/$1  return;\n/' \
   ${F}PartitionTest '*dead daemon*'
 mutate live-share $S/Process/Membership/MemberTable.cpp \
   's/return \(Known - static_cast<double>\(Dead\)\) \/ Known;/return Dead > 100 ? Known : 1.0;/' \
   ${F}PartitionTest '*all cut off*'
 mutate waiting-of-gone $S/Process/Keeping/KeeperService.cpp \
-  's/    for \(const RequestId &Id : Target->Scheduler_\.removeWaiting\(Ingress\)\)\n\s*Allotments_\.giveBack\(Id\);/    (void)Target;/' \
+  's/    for \(const RequestId &Id : Target->Scheduler_\.removeWaiting\(Ingress\)\)\n\s*Allotments_\.refund\(Id\);/    (void)Target;/' \
   UnitTests/UnitTests_Process '*whose link broke gets no place*'
 mutate places-of-gone $S/Process/Keeping/KeeperService.cpp \
-  's/  Gone\.HoldsPlaces_ = false;\n/$&  return;\n/' \
+  's/  Disconnected\.HoldsSlots_ = false;\n/$&  return;\n/' \
   UnitTests/UnitTests_Process '*place of an entry whose link broke*'
 T=FailureTests
 mutate joined-thread $T/ContextThread.h \
@@ -177,10 +177,10 @@
   's/Queue\.ServedTokens_ \+= Cost [^;]*;/(void)Cost;/' \
   ${U}Process '*plain scan*'
 mutate scheduler-floor $S/Process/Scheduling/Scheduler.cpp \
-  's/(void Scheduler::shedBelow\([^{]*\{\n)/$1  return;\n/' \
+  's/(void Scheduler::shedAllBelow\([^{]*\{\n)/$1  return;\n/' \
   ${U}Process '*plain scan*'
 mutate length-shares $S/Process/Scheduling/SchedulerAdmission.cpp \
-  's/std::min<AnswerLength>\(std::bit_width\(Means\), AnswerLengths - 1\)/std::min<AnswerLength>(std::bit_width(Means), 1)/' \
+  's/std::min<LengthClass>\(std::bit_width\(Means\), LengthClassCount - 1\)/std::min<LengthClass>(std::bit_width(Means), 1)/' \
   ${U}Process '*longest requests of the lowest tier*'
 mutate claim-read-back-unit $S/Request/ClaimStore.cpp \
   's/if \(Present && \*Present\)\s*co_return std::move\(\*\*Present\);/if (Present \&\& *Present) { co_return Wanted; }/' \
@@ -189,16 +189,16 @@
   's/return State_\.compare_exchange_strong\(Expected, Next\);/if (State_.load() != Expected) return false; State_.store(Next); return true;/' \
   ${U}Request '*in one instant*'
 mutate posted-decisions $S/Process/Keeping/KeeperService.cpp \
-  's/Notices_\.push\(CellDecision\{Cell, std::move\(Made\)\}\);/tell(CellDecision{Cell, std::move(Made)});/' \
+  's/Notifications_\.push\(CellDecision\{Cell, std::move\(Made\)\}\);/deliver(CellDecision{Cell, std::move(Made)});/' \
   ${U}Process '*after the call that makes them*'
 mutate taken-back-grant $S/Process/Keeping/KeeperService.cpp \
-  's/if \(!stillStands\(Event\.Cell_, \*Grant\)\)/if (false)/' \
+  's/if \(!isStillValid\(Event\.Cell_, \*Grant\)\)/if (false)/' \
   ${U}Process '*taken back before it is told is not told*'
 mutate taken-back-allotment $S/Process/Keeping/KeeperService.cpp \
-  's/return Allotments_\.giveBack\(Grant->Id_\);/return;/' \
+  's/return Allotments_\.refund\(Grant->Id_\);/return;/' \
   ${U}Process '*uses no allotment*'
 mutate told-allotment $S/Process/Keeping/KeeperService.cpp \
-  's/    Allotments_\.used\(Grant->Id_\);\n//' \
+  's/    Allotments_\.commit\(Grant->Id_\);\n//' \
   ${U}Process '*use their allotment*'
 mutate late-refusal $S/Process/Keeping/GrantClient.cpp \
   's/ \|\| Found->second\.Keeper_ != From\)\n    return;/)\n    return;/' \
@@ -207,13 +207,13 @@
   's/(void closeConnection\(\) \{\n)    if \(Ready_\.Connection_\)\n/$1/' \
   ${U}Request '*leaves before the last event*'
 mutate part-of-frame $S/Connection/FrameChannel.cpp \
-  's/LastHeard_ = Error \? LastHeard_ : steady_clock::now\(\);/LastHeard_ = Error || Target.size() > 0 ? LastHeard_ : steady_clock::now();/' \
+  's/LastReceived_ = Error \? LastReceived_ : steady_clock::now\(\);/LastReceived_ = Error || Target.size() > 0 ? LastReceived_ : steady_clock::now();/' \
   ${U}Connection '*long frame that comes slowly*'
 mutate sign-behind-frame $S/Connection/FrameChannel.cpp \
   's/  send\(encodeMessage\(heartbeatReply\(\)\)\);\n\}/}/' \
   ${U}Connection '*takes a long frame says so*'
 mutate queue-bound $S/Connection/FrameChannel.cpp \
-  's/return closeOverfull\(\);/;/' \
+  's/return closeOnFullQueue\(\);/;/' \
   ${U}Connection '*too much waits to be sent*'
 mutate text-apart $S/Process/Configuration/PeerFollower.cpp \
   's/  Question\.apart = true;\n//' \
@@ -237,13 +237,13 @@
   's/if \(Changes->Entries_\.empty\(\) && After_ < Changes->Revision_\)/if (false)/' \
   ${U}platform '*ends past changes*'
 mutate answer-comes $S/Process/Configuration/StoreFollower.cpp \
-  's/ && !answerComes\(\)\)/)/' \
+  's/ && !answerArriving\(\)\)/)/' \
   ${U}platform '*whose answer is coming*'
 mutate answer-silence platform/Store.cpp \
   's/Limits\{Timeout, Timeout_, MaxDuration_\}/Limits{Timeout, Timeout_, Timeout_}/' \
   ${U}platform '*over a slow link*'
 mutate soonest-lapse $S/Process/Configuration/StoreFollower.cpp \
-  's/ &&\s+Freshness_\.age\(SentAt\) >= Options_\.LapseTime_\)/)/' \
+  's/ &&\s+Freshness_\.age\(SentAt\) >= Options_\.EarliestExpiry_\)/)/' \
   ${U}platform '*gone with the first list*'
 mutate followed-outage $S/Process/Configuration/StoreFollower.cpp \
   's/(minutes later, it would retain servers then that\n.*\n)  View_\.outageEnded\(\);/$1/' \
@@ -255,7 +255,7 @@
   's/std::size_t Strength = [^;]*;/std::size_t Strength = 1;/' \
   ${U}Process '*fleet of hundreds few read*'
 mutate news-first $S/Process/Membership/MemberTable.cpp \
-  's/return std::pair\(!isNews\(\*Known, Now\), Known->Sent_\);/return std::pair(false, Known->Sent_);/' \
+  's/return std::pair\(!isRecentChange\(\*Known, Now\), Known->Sent_\);/return std::pair(false, Known->Sent_);/' \
   ${U}MembershipFleet '*death is known to all*'
 mutate suspect-probers $S/Process/Membership/MemberTable.cpp \
   's/double Chance = [^;]*;/double Chance = 1;/' \
@@ -285,7 +285,7 @@
   's/  noteLag\(State\);\n//' \
   ${U}OverdueConfiguration '*does not come*'
 mutate slow-answer-noted $S/Process/Configuration/StoreFollower.cpp \
-  's/if \(answerComes\(\) &&/if (false \&\&/' \
+  's/if \(answerArriving\(\) &&/if (false \&\&/' \
   ${U}platform '*answer comes slowly*'
 mutate peer-lag-noted $S/Process/Configuration/ConfigurationSync.cpp \
   's/  noteLag\(\);\n\}\n\nbool/}\n\nbool/' \
@@ -294,19 +294,19 @@
   's/if \(EraRead_ && Answered\.Era_ < Position_\.Era_\)/if (false)/' \
   ${U}platform '*answer of an older era*'
 mutate era-departed $S/Process/Configuration/DepartedServers.cpp \
-  's/Later \? Admission::Admitted : Admission::Doubted/Later ? Admission::Admitted : Admission::Admitted/' \
+  's/Later \? Admission::Admitted : Admission::Unconfirmed/Later ? Admission::Admitted : Admission::Admitted/' \
   ${U}StoreEraModel '*in all orders*'
 mutate era-known-older $S/Process/Configuration/StoreView.cpp \
   's/  bool Older =\s+Written < Before \|\| \(FromBackup && [^;]*;/  bool Older = false;/' \
   ${U}StoreEraModel '*in all orders*'
 mutate era-heard-at $S/Process/Configuration/StoreView.cpp \
-  's/Doubted_\.empty\(\) \|\| Asked < EraStart_->SeenAt_ \+ Times_\.Lapse_/Doubted_.empty() || Asked < EraStart_->SeenAt_/' \
+  's/Unconfirmed_\.empty\(\) \|\| Asked < EraStart_->SeenAt_ \+ Times_\.EntryExpiry_/Unconfirmed_.empty() || Asked < EraStart_->SeenAt_/' \
   ${U}StoreEraModel '*in all orders*'
 mutate era-unsure $S/Process/Configuration/StoreView.cpp \
-  's/IsUnsure \? Source::UnsureDaemon : Source::Daemon/IsUnsure ? Source::Daemon : Source::Daemon/' \
+  's/IsUnsure \? Source::UnverifiedDaemon : Source::Daemon/IsUnsure ? Source::Daemon : Source::Daemon/' \
   ${U}StoreEraModel '*in all orders*'
 mutate era-confirms $S/Process/Configuration/StoreView.cpp \
-  's/if \(ToldVersion_ < version\(\)\)\n    return false;//' \
+  's/if \(ReadVersion_ < version\(\)\)\n    return false;//' \
   ${U}platform '*is confirmed only*'
 mutate era-outage $S/Process/Configuration/StoreView.cpp \
   's/  Directory_\.outageBegan\(\);\n  Directory_\.outageEnded\(Now\);\n//; s/  BootTime Now = Hooks_\.Now_\(\);\n  logEvent/  BootTime Now = Hooks_.Now_();\n  (void)Now;\n  logEvent/' \
@@ -324,7 +324,7 @@
   's/if \(spansEras\(Expected, Body->Era_\)\)/if (false)/' \
   ${U}platform '*conditional write that meets*'
 mutate era-heard-version $S/Process/Configuration/PeerFollower.cpp \
-  's/(void PeerFollower::onTimer\(\) \{\n  forgetFollowers\(\);\n)  askForHeardVersion\(\);\n/$1/' \
+  's/(void PeerFollower::onTimer\(\) \{\n  forgetFollowers\(\);\n)  requestAnnouncedVersion\(\);\n/$1/' \
   ${U}platform '*gossip names comes*'
 mutate era-yields $S/Process/Configuration/StoreView.cpp \
   's/    EraRead_ = false;\n//' \
@@ -333,7 +333,7 @@
   's/    if \(!SameEra\)\n      After.Revision_ = \{\};\n//' \
   ${U}Process '*is read anew*'
 mutate allotment-few-keepers $S/Process/Keeping/Cell.cpp \
-  's/Cell\.Index_ % MostKeepers/Cell.Index_/' \
+  's/Cell\.Index_ % MaxKeepers/Cell.Index_/' \
   ${U}AllotmentOfManyCells '*'
 mutate allotment-both-buckets $S/Process/Scheduling/AllotmentLedger.cpp \
   's/if \(!FitsBoth\)/if (true)/' \
--- a/UnitTests/Connection/EventSplitterTest.cpp
+++ b/UnitTests/Connection/EventSplitterTest.cpp
@@ -12,8 +12,8 @@
   EventSplitter Splitter;
   CHECK(Splitter.feed("id: 1\ndata: a\n\nid: 2\nda") == "id: 1\ndata: a\n\n");
   CHECK(Splitter.lastId() == "1");
-  CHECK(Splitter.rest() == "id: 2\nda");
-  Splitter.dropRest();
+  CHECK(Splitter.partialEvent() == "id: 2\nda");
+  Splitter.dropPartialEvent();
   CHECK(Splitter.feed("id: 2\ndata: b\n\n") == "id: 2\ndata: b\n\n");
   CHECK(Splitter.lastId() == "2");
   CHECK(Splitter.count() == 2);
@@ -38,8 +38,8 @@
       Out += Splitter.feed(std::string_view(Stream).substr(At, Length));
       At += Length;
     }
-    RC_ASSERT(Out + Splitter.rest() == Stream);
+    RC_ASSERT(Out + Splitter.partialEvent() == Stream);
     RC_ASSERT(Splitter.lastId() == std::optional<std::string>("2"));
-    RC_ASSERT(Splitter.rest() == "id: 3\nda");
+    RC_ASSERT(Splitter.partialEvent() == "id: 3\nda");
   });
 }
--- a/UnitTests/Process/Configuration/HeardVersionsTest.cpp
+++ b/UnitTests/Process/Configuration/AnnouncedVersionsTest.cpp
@@ -1,4 +1,4 @@
-#include "Process/Configuration/HeardVersions.h"
+#include "Process/Configuration/AnnouncedVersions.h"
 
 #include <doctest/doctest.h>
 
@@ -14,9 +14,9 @@
 constexpr DocumentVersion Old(3);
 constexpr DocumentVersion New(5);
 
-HeardVersions heard() {
-  HeardVersions Built{HeardVersions::Options()};
-  Built.heard(First, New, Old, Start);
+AnnouncedVersions noteAnnounced() {
+  AnnouncedVersions Built{AnnouncedVersions::Options()};
+  Built.noteAnnounced(First, New, Old, Start);
   return Built;
 }
 
@@ -24,20 +24,20 @@
 
 TEST_CASE("a version is requested when it has not arrived from the reader or "
           "the service") {
-  HeardVersions Heard = heard();
+  AnnouncedVersions Heard = noteAnnounced();
   CHECK(Heard.missing(Old, Start));
   CHECK_FALSE(Heard.due(Old, Start + milliseconds(399)));
   auto Due = Heard.due(Old, Start + milliseconds(400));
   REQUIRE(Due);
-  CHECK(Due->By_ == First);
+  CHECK(Due->Announcer_ == First);
   CHECK(Due->Version_ == New);
   CHECK_FALSE(Heard.due(New, Start + milliseconds(401)));
 }
 
 TEST_CASE("the active version and older ones are not missing") {
-  HeardVersions Heard{HeardVersions::Options()};
-  Heard.heard(First, Old, Old, Start);
-  Heard.heard(First, DocumentVersion(1), Old, Start);
+  AnnouncedVersions Heard{AnnouncedVersions::Options()};
+  Heard.noteAnnounced(First, Old, Old, Start);
+  Heard.noteAnnounced(First, DocumentVersion(1), Old, Start);
   CHECK_FALSE(Heard.missing(Old, Start));
 }
 
@@ -45,22 +45,22 @@
 // those of all other daemons permanently.
 TEST_CASE("announcements of a daemon that does not deliver a version are "
           "ignored for a while") {
-  HeardVersions Heard = heard();
+  AnnouncedVersions Heard = noteAnnounced();
   CHECK_FALSE(Heard.missing(Old, Start + seconds(3)));
-  Heard.heard(First, New, Old, Start + seconds(4));
+  Heard.noteAnnounced(First, New, Old, Start + seconds(4));
   CHECK_FALSE(Heard.missing(Old, Start + seconds(4)));
-  Heard.heard(Second, New, Old, Start + seconds(4));
+  Heard.noteAnnounced(Second, New, Old, Start + seconds(4));
   CHECK(Heard.missing(Old, Start + seconds(4)));
-  Heard.notHandedOver(Second, Start + seconds(4));
-  Heard.heard(First, New, Old, Start + seconds(13));
+  Heard.notDelivered(Second, Start + seconds(4));
+  Heard.noteAnnounced(First, New, Old, Start + seconds(13));
   CHECK(Heard.missing(Old, Start + seconds(13)));
 }
 
 TEST_CASE("of two versions the newer one is requested") {
-  HeardVersions Heard = heard();
-  Heard.heard(Second, DocumentVersion(6), Old, Start);
-  Heard.heard(First, New, Old, Start);
+  AnnouncedVersions Heard = noteAnnounced();
+  Heard.noteAnnounced(Second, DocumentVersion(6), Old, Start);
+  Heard.noteAnnounced(First, New, Old, Start);
   auto Due = Heard.due(Old, Start + seconds(1));
   REQUIRE(Due);
-  CHECK(Due->By_ == Second);
+  CHECK(Due->Announcer_ == Second);
 }
--- a/UnitTests/Process/Configuration/ConfigurationSyncTest.cpp
+++ b/UnitTests/Process/Configuration/ConfigurationSyncTest.cpp
@@ -34,13 +34,13 @@
   FreshnessLease Freshness(seconds(0), seconds(2));
   int Asked = 0;
   ConfigurationSync::Hooks Hooks;
-  Hooks.AskPeer_ = [&](const VmId &, const ServiceName &) { ++Asked; };
+  Hooks.RequestDocument_ = [&](const VmId &, const ServiceName &) { ++Asked; };
   ConfigurationSync Sync(Context, PlatformHooks(), Documents, Freshness,
                          ConfigurationSync::Options(), std::move(Hooks));
   Sync.documentReceived(Service, encoded(1));
-  Sync.versionSeen(Peer, Service, DocumentVersion(1));
+  Sync.versionAnnounced(Peer, Service, DocumentVersion(1));
   CHECK_FALSE(Freshness.overdue(BootClock::now() + seconds(3)));
-  Sync.versionSeen(Peer, Service, DocumentVersion(2));
+  Sync.versionAnnounced(Peer, Service, DocumentVersion(2));
   CHECK(Asked == 1);
   CHECK_FALSE(Freshness.overdue(BootClock::now()));
   CHECK(Freshness.overdue(BootClock::now() + seconds(3)));
--- a/UnitTests/Process/Configuration/DepartedServersTest.cpp
+++ b/UnitTests/Process/Configuration/DepartedServersTest.cpp
@@ -15,7 +15,9 @@
 
 class DepartedFixture {
 public:
-  DepartedFixture() { Servers_.left(Name, {at(1, 50), Incarnation(7)}); }
+  DepartedFixture() {
+    Servers_.markDeparted(Name, {at(1, 50), Incarnation(7)});
+  }
   Admission admitsReported(const StorePosition &Written) const {
     return Servers_.admits(Name, {Written, Incarnation(7), false}, Era_);
   }
@@ -39,9 +41,9 @@
 
 TEST_CASE("in the next era only an entry written in it is admitted") {
   DepartedFixture Test;
-  CHECK(Test.admitsReported(at(2, 90)) == Admission::Doubted);
+  CHECK(Test.admitsReported(at(2, 90)) == Admission::Unconfirmed);
   Test.Era_ = EraStart{at(2, 30), Now};
-  CHECK(Test.admitsReported(at(2, 30)) == Admission::Doubted);
+  CHECK(Test.admitsReported(at(2, 30)) == Admission::Unconfirmed);
   CHECK(Test.admitsReported(at(2, 31)) == Admission::Admitted);
   CHECK(Test.admitsReported(at(0, 90)) == Admission::Refused);
 }
--- a/UnitTests/Process/Configuration/DirectoryViewTest.cpp
+++ b/UnitTests/Process/Configuration/DirectoryViewTest.cpp
@@ -23,10 +23,10 @@
 TEST_CASE("a server that goes missing while the service is available is "
           "removed at once") {
   DirectoryView View(RegisterAgainTime);
-  CHECK(View.seen(server("a")));
-  CHECK_FALSE(View.seen(server("a")));
-  CHECK(View.seen(server("a", true)));
-  CHECK(View.missing(ServerName("a"), Start));
+  CHECK(View.addOrUpdate(server("a")));
+  CHECK_FALSE(View.addOrUpdate(server("a")));
+  CHECK(View.addOrUpdate(server("a", true)));
+  CHECK(View.markMissing(ServerName("a"), Start));
   CHECK(View.servers().empty());
 }
 
@@ -37,43 +37,43 @@
   // back within two seconds. Treating missing entries as removed would leave no
   // server to send requests to.
   DirectoryView View(RegisterAgainTime);
-  View.seen(server("lives"));
-  View.seen(server("died"));
+  View.addOrUpdate(server("lives"));
+  View.addOrUpdate(server("died"));
   View.outageBegan();
-  CHECK_FALSE(View.missing(ServerName("lives"), Start));
+  CHECK_FALSE(View.markMissing(ServerName("lives"), Start));
   View.outageEnded(Start);
   CHECK_FALSE(View.listed({}, Start));
   CHECK(View.size() == 2);
   CHECK(View.nextDrop() == Start + RegisterAgainTime);
-  CHECK_FALSE(View.seen(server("lives")));
-  CHECK_FALSE(View.dropUnseen(Start + RegisterAgainTime - milliseconds(1)));
-  CHECK(View.dropUnseen(Start + RegisterAgainTime));
+  CHECK_FALSE(View.addOrUpdate(server("lives")));
+  CHECK_FALSE(View.dropMissing(Start + RegisterAgainTime - milliseconds(1)));
+  CHECK(View.dropMissing(Start + RegisterAgainTime));
   CHECK(View.size() == 1);
   CHECK_FALSE(View.nextDrop().has_value());
 }
 
 TEST_CASE("an entry that is removed long after the outage is dropped at once") {
   DirectoryView View(RegisterAgainTime);
-  View.seen(server("a"));
+  View.addOrUpdate(server("a"));
   View.outageBegan();
   View.outageEnded(Start);
-  CHECK(View.missing(ServerName("a"), Start + RegisterAgainTime));
+  CHECK(View.markMissing(ServerName("a"), Start + RegisterAgainTime));
 }
 
 TEST_CASE("an outage without end drops nothing") {
   DirectoryView View(RegisterAgainTime);
-  View.seen(server("a"));
+  View.addOrUpdate(server("a"));
   View.outageBegan();
-  View.missing(ServerName("a"), Start);
-  CHECK_FALSE(View.dropUnseen(Start + std::chrono::hours(1)));
+  View.markMissing(ServerName("a"), Start);
+  CHECK_FALSE(View.dropMissing(Start + std::chrono::hours(1)));
   CHECK_FALSE(View.nextDrop().has_value());
 }
 
 TEST_CASE("a complete list after the history was lost shows which servers "
           "left in the gap") {
   DirectoryView View(RegisterAgainTime);
-  View.seen(server("stays"));
-  View.seen(server("left"));
+  View.addOrUpdate(server("stays"));
+  View.addOrUpdate(server("left"));
   CHECK(View.listed({ServerName("stays")}, Start));
   CHECK(View.size() == 1);
 }
@@ -87,8 +87,8 @@
   Earlier.Server_.Incarnation_ = Incarnation(1000);
   RegisteredServer Later = server("a");
   Later.Server_.Incarnation_ = Incarnation(2000);
-  View.seen(Earlier);
-  CHECK(View.seen(Later));
-  CHECK_FALSE(View.seen(Earlier));
+  View.addOrUpdate(Earlier);
+  CHECK(View.addOrUpdate(Later));
+  CHECK_FALSE(View.addOrUpdate(Earlier));
   CHECK_FALSE(View.servers()[PoolName("pool")].front().Leaving_);
 }
--- a/UnitTests/Process/Configuration/DocumentTransferTest.cpp
+++ b/UnitTests/Process/Configuration/DocumentTransferTest.cpp
@@ -27,12 +27,13 @@
 public:
   TransferFixture() {
     for (DocumentTexts *Texts : {&Reader_, &Follower_})
-      Texts->keep(DocumentVersion(3), textOf(3, 100000));
+      Texts->store(DocumentVersion(3), textOf(3, 100000));
   }
   std::optional<wire::TextAskT> announce(std::uint64_t Number) {
     const std::string *Text = Reader_.find(DocumentVersion(Number));
-    return Transfer_.named(DocumentVersion(Number), Text ? Text->size() : 1,
-                           Follower_.newest(), Now_);
+    return Transfer_.onAnnounced(DocumentVersion(Number),
+                                 Text ? Text->size() : 1, Follower_.newest(),
+                                 Now_);
   }
   DocumentTransfer::Step deliver(const wire::TextPartT &Chunk) {
     return Transfer_.received(Chunk, Follower_, Now_);
@@ -41,10 +42,10 @@
   /// \returns its last step.
   DocumentTransfer::Step runFrom(std::optional<wire::TextAskT> Request) {
     DocumentTransfer::Step Last;
-    Last.Ask_ = std::move(Request);
-    while (Last.Ask_) {
+    Last.Request_ = std::move(Request);
+    while (Last.Request_) {
       ++Chunks_;
-      Last = deliver(Reader_.part(*Last.Ask_));
+      Last = deliver(Reader_.chunk(*Last.Request_));
     }
     return Last;
   }
@@ -61,7 +62,7 @@
 TEST_CASE("a text arrives whole, in chunks of a bounded length") {
   TransferFixture Test;
   std::string Text = textOf(4, 100000);
-  Test.Reader_.keep(DocumentVersion(4), Text);
+  Test.Reader_.store(DocumentVersion(4), Text);
   CHECK(Test.Transfer_.lacks(DocumentVersion(4), DocumentVersion(3)));
   CHECK(Test.runFrom(Test.announce(4)).Text_ == Text);
   CHECK(Test.Chunks_ == 7);
@@ -74,7 +75,7 @@
 TEST_CASE("a text similar to one that both have arrives in one chunk") {
   TransferFixture Test;
   std::string Text = textOf(3, 100000) + "a new route";
-  Test.Reader_.keep(DocumentVersion(4), Text);
+  Test.Reader_.store(DocumentVersion(4), Text);
   CHECK(Test.runFrom(Test.announce(4)).Text_ == Text);
   CHECK(Test.Chunks_ == 1);
 }
@@ -82,61 +83,61 @@
 TEST_CASE("a text arrives without a common prefix") {
   TransferFixture Test;
   std::string Text = textOf(4, 100000);
-  Test.Reader_.keep(DocumentVersion(4), Text);
+  Test.Reader_.store(DocumentVersion(4), Text);
   Test.Follower_ = DocumentTexts();
   SUBCASE("none") {}
-  SUBCASE("unknown") { Test.Follower_.keep(DocumentVersion(2), "another"); }
+  SUBCASE("unknown") { Test.Follower_.store(DocumentVersion(2), "another"); }
   CHECK(Test.runFrom(Test.announce(4)).Text_ == Text);
 }
 
 TEST_CASE("a text in transfer is not requested again, unless a chunk is "
           "overdue") {
   TransferFixture Test;
-  Test.Reader_.keep(DocumentVersion(4), textOf(4, 100000));
+  Test.Reader_.store(DocumentVersion(4), textOf(4, 100000));
   auto First = Test.announce(4);
   REQUIRE(First);
   CHECK_FALSE(Test.announce(4));
-  auto Second = Test.deliver(Test.Reader_.part(*First));
-  REQUIRE(Second.Ask_);
+  auto Second = Test.deliver(Test.Reader_.chunk(*First));
+  REQUIRE(Second.Request_);
   Test.Now_ += milliseconds(1000);
   CHECK_FALSE(Test.announce(4));
   Test.Now_ += milliseconds(1000);
   auto Again = Test.announce(4);
   REQUIRE(Again);
-  CHECK(Again->offset == TextPartBytes);
+  CHECK(Again->offset == TextChunkBytes);
   // Both requests are answered in the end, and only one of the answers is used.
-  auto Chunk = Test.Reader_.part(*Again);
-  CHECK(Test.deliver(Chunk).Ask_);
-  CHECK_FALSE(Test.deliver(Chunk).Ask_);
+  auto Chunk = Test.Reader_.chunk(*Again);
+  CHECK(Test.deliver(Chunk).Request_);
+  CHECK_FALSE(Test.deliver(Chunk).Request_);
 }
 
 TEST_CASE("a newer text replaces the one in transfer") {
   TransferFixture Test;
-  Test.Reader_.keep(DocumentVersion(4), textOf(4, 100000));
+  Test.Reader_.store(DocumentVersion(4), textOf(4, 100000));
   auto Request = Test.announce(4);
   REQUIRE(Request);
-  auto Next = Test.deliver(Test.Reader_.part(*Request));
-  REQUIRE(Next.Ask_);
+  auto Next = Test.deliver(Test.Reader_.chunk(*Request));
+  REQUIRE(Next.Request_);
   std::string Text = textOf(5, 50000);
-  Test.Reader_.keep(DocumentVersion(5), Text);
+  Test.Reader_.store(DocumentVersion(5), Text);
   auto Newer = Test.announce(5);
   REQUIRE(Newer);
   CHECK(Newer->offset == 0);
   // The answer for the earlier text, which is no longer available.
-  CHECK_FALSE(Test.deliver(Test.Reader_.part(*Next.Ask_)).Ask_);
+  CHECK_FALSE(Test.deliver(Test.Reader_.chunk(*Next.Request_)).Request_);
   CHECK(Test.runFrom(Newer).Text_ == Text);
 }
 
 TEST_CASE("the transfer of a text that the reader no longer has ends, and "
           "that of the next one begins") {
   TransferFixture Test;
-  Test.Reader_.keep(DocumentVersion(4), textOf(4, 100000));
+  Test.Reader_.store(DocumentVersion(4), textOf(4, 100000));
   auto Request = Test.announce(4);
   std::string Text = textOf(5, 50000);
-  Test.Reader_.keep(DocumentVersion(5), Text);
+  Test.Reader_.store(DocumentVersion(5), Text);
   auto Last = Test.runFrom(Request);
   CHECK_FALSE(Last.Text_);
-  CHECK_FALSE(Last.Broken_);
+  CHECK_FALSE(Last.Invalid_);
   CHECK(Test.runFrom(Test.announce(5)).Text_ == Text);
 }
 
@@ -144,12 +145,12 @@
           "requested again without a prefix") {
   TransferFixture Test;
   std::string Text = textOf(4, 100000);
-  Test.Reader_.keep(DocumentVersion(4), Text);
+  Test.Reader_.store(DocumentVersion(4), Text);
   auto Request = Test.announce(4);
   REQUIRE(Request);
   CHECK(Request->held_version == 3);
-  auto Chunk = Test.Reader_.part(*Request);
-  SUBCASE("a wrong byte") { Chunk.bytes[TextPartBytes / 2] ^= 0xff; }
+  auto Chunk = Test.Reader_.chunk(*Request);
+  SUBCASE("a wrong byte") { Chunk.bytes[TextChunkBytes / 2] ^= 0xff; }
   SUBCASE("a wrong hash") { Chunk.hash ^= 1; }
   SUBCASE("a wrong size") { --Chunk.size; }
   SUBCASE("another prefix") { Chunk.held_version = 2; }
@@ -157,8 +158,8 @@
   SUBCASE("longer than all") { Chunk.packed_size = 10; }
   SUBCASE("no bytes") { Chunk.bytes.clear(); }
   auto Step = Test.deliver(Chunk);
-  auto Last = Step.Ask_ ? Test.runFrom(Step.Ask_) : std::move(Step);
-  CHECK(Last.Broken_);
+  auto Last = Step.Request_ ? Test.runFrom(Step.Request_) : std::move(Step);
+  CHECK(Last.Invalid_);
   CHECK_FALSE(Last.Text_);
   auto Again = Test.announce(4);
   REQUIRE(Again);
@@ -170,18 +171,18 @@
 TEST_CASE("a different prefix of the same version is detected") {
   TransferFixture Test;
   Test.Follower_ = DocumentTexts();
-  Test.Follower_.keep(DocumentVersion(3), textOf(9, 100000));
+  Test.Follower_.store(DocumentVersion(3), textOf(9, 100000));
   std::string Text = textOf(3, 100000) + "a new route";
-  Test.Reader_.keep(DocumentVersion(4), Text);
-  CHECK(Test.runFrom(Test.announce(4)).Broken_);
+  Test.Reader_.store(DocumentVersion(4), Text);
+  CHECK(Test.runFrom(Test.announce(4)).Invalid_);
   CHECK(Test.runFrom(Test.announce(4)).Text_ == Text);
 }
 
 TEST_CASE("a text that is too long is neither requested nor stored") {
   TransferFixture Test;
-  CHECK_FALSE(Test.Transfer_.named(DocumentVersion(4), MaxTextBytes + 1,
-                                   DocumentVersion(3), Test.Now_));
-  Test.Reader_.keep(DocumentVersion(4), std::string(MaxTextBytes + 1, 'x'));
+  CHECK_FALSE(Test.Transfer_.onAnnounced(DocumentVersion(4), MaxTextBytes + 1,
+                                         DocumentVersion(3), Test.Now_));
+  Test.Reader_.store(DocumentVersion(4), std::string(MaxTextBytes + 1, 'x'));
   CHECK(Test.Reader_.newest() == DocumentVersion(3));
 }
 
@@ -189,8 +190,8 @@
           "it arrives") {
   DocumentTexts Texts;
   for (std::uint64_t Number = 1; Number <= 10; ++Number)
-    Texts.keep(DocumentVersion(Number), "text");
-  Texts.keep(DocumentVersion(2), "text");
+    Texts.store(DocumentVersion(Number), "text");
+  Texts.store(DocumentVersion(2), "text");
   CHECK(Texts.find(DocumentVersion(10)));
   CHECK(Texts.find(DocumentVersion(8)));
   CHECK_FALSE(Texts.find(DocumentVersion(7)));
--- a/UnitTests/Process/Configuration/FreshnessLeaseTest.cpp
+++ b/UnitTests/Process/Configuration/FreshnessLeaseTest.cpp
@@ -53,7 +53,7 @@
   CHECK(Lease.behind(Start + seconds(1)) == seconds(1));
   CHECK_FALSE(Lease.overdue(Start + seconds(1)));
   CHECK(Lease.overdue(Start + seconds(2)));
-  Lease.newestInForce();
+  Lease.newestActive();
   CHECK_FALSE(Lease.overdue(Start + seconds(9)));
   CHECK(Lease.behind(Start + seconds(9)) == seconds(0));
 }
--- a/UnitTests/Process/Configuration/TextPackingTest.cpp
+++ b/UnitTests/Process/Configuration/TextPackingTest.cpp
@@ -24,7 +24,7 @@
   CHECK(rc::check([](const std::string &Text, const std::string &Prefix) {
     auto Packed = packText(Text, Prefix);
     RC_ASSERT(Packed.has_value());
-    RC_ASSERT(Packed->size() <= mostPacked(Text.size()));
+    RC_ASSERT(Packed->size() <= maxPackedSize(Text.size()));
     RC_ASSERT(unpackText(*Packed, Text.size(), Prefix) == Text);
     RC_ASSERT(!unpackText(*Packed, Text.size() + 1, Prefix));
   }));
--- a/UnitTests/Process/Keeping/AllotmentOfManyCellsTest.cpp
+++ b/UnitTests/Process/Keeping/AllotmentOfManyCellsTest.cpp
@@ -81,15 +81,15 @@
 
   bool granted() const { return Granted_; }
   std::vector<CellId> cells() const { return Keeper_.cells(); }
-  void requestGrant(std::uint64_t Number) {
-    AskedRequest Request;
+  void sendRequest(std::uint64_t Number) {
+    GrantRequest Request;
     Request.Id_ = {1, Number};
     Request.Customer_ = Calm;
     Request.Prompt_ = Tokens(PromptTokens);
     Request.Answer_ = Tokens(AnswerTokens);
     Request.Deadline_ = steady_clock::now() + std::chrono::hours(1);
-    Request.Entry_ = VmId("entry");
-    Keeper_.ask(cells().front(), std::move(Request));
+    Request.Ingress_ = VmId("entry");
+    Keeper_.requestGrant(cells().front(), std::move(Request));
   }
 
 private:
@@ -143,7 +143,7 @@
   for (std::uint64_t Number = 1; Number <= MaxRequests; ++Number) {
     for (auto &Keeper : Keepers)
       if (!Keeper->granted())
-        Keeper->requestGrant(Number);
+        Keeper->sendRequest(Number);
     Control.restart();
     Control.run_for(Pause);
   }
--- a/UnitTests/Process/Keeping/GrantClientTest.cpp
+++ b/UnitTests/Process/Keeping/GrantClientTest.cpp
@@ -24,7 +24,7 @@
   IngressDaemon() : Client_(Control_, VmId("entry"), hooks()) {}
 
   void acquire() {
-    AskedRequest Request;
+    GrantRequest Request;
     Request.Id_ = Id;
     Request.Customer_ = CustomerName("c");
     Request.Deadline_ =
@@ -157,12 +157,12 @@
   IngressDaemon Ingress;
   Ingress.acquire();
   auto Start = std::chrono::steady_clock::now();
-  Ingress.Client_.checkLateAnswers(Start + std::chrono::milliseconds(900));
-  Ingress.Client_.checkLateAnswers(Start + std::chrono::milliseconds(1000));
+  Ingress.Client_.checkOverdueAnswers(Start + std::chrono::milliseconds(900));
+  Ingress.Client_.checkOverdueAnswers(Start + std::chrono::milliseconds(1000));
   CHECK(Ingress.sent("second", wire::Body::Ask) == 0);
-  Ingress.Client_.checkLateAnswers(Start + std::chrono::seconds(5));
+  Ingress.Client_.checkOverdueAnswers(Start + std::chrono::seconds(5));
   CHECK(Ingress.sent("second", wire::Body::Ask) == 0);
-  Ingress.Client_.checkLateAnswers(Start + std::chrono::seconds(6));
+  Ingress.Client_.checkOverdueAnswers(Start + std::chrono::seconds(6));
   CHECK(Ingress.sent("second", wire::Body::Ask) == 1);
   CHECK(Ingress.sent("first", wire::Body::Ask) == 1);
   // The keeper is alive, and would leave the request's slot occupied forever.
@@ -182,7 +182,7 @@
     Client_.setLocalKeeper(&Keeper_);
   }
   void acquire(std::uint64_t Number) {
-    AskedRequest Request;
+    GrantRequest Request;
     Request.Id_ = {1, Number};
     Request.Customer_ = CustomerName("c");
     Request.Deadline_ =
@@ -208,7 +208,7 @@
 private:
   static KeeperService::Options options() {
     KeeperService::Options Options;
-    Options.RoundPause_ = 0;
+    Options.RoundPauseFactor_ = 0;
     return Options;
   }
   static DocumentStore &withEngines(DocumentStore &Documents, int Count) {
--- a/UnitTests/Process/Keeping/KeeperChoiceTest.cpp
+++ b/UnitTests/Process/Keeping/KeeperChoiceTest.cpp
@@ -59,9 +59,9 @@
   for (std::uint32_t Index = 0; Index < Cells; ++Index) {
     VmId Keeper = *Choice.keeperOf(cell(Index), {});
     ++CellsOfKeeper[Keeper];
-    CHECK(Keeper == keeperOf(cell(Index % MostKeepers), Members)->Id_);
+    CHECK(Keeper == keeperOf(cell(Index % MaxKeepers), Members)->Id_);
   }
-  CHECK(CellsOfKeeper.size() <= MostKeepers);
+  CHECK(CellsOfKeeper.size() <= MaxKeepers);
   for (const auto &[Keeper, Count] : CellsOfKeeper)
-    CHECK(Count >= Cells / MostKeepers);
+    CHECK(Count >= Cells / MaxKeepers);
 }
--- a/UnitTests/Process/Keeping/KeeperServiceTest.cpp
+++ b/UnitTests/Process/Keeping/KeeperServiceTest.cpp
@@ -26,16 +26,16 @@
   OneEngineKeeper()
       : Keeper_(Control_, withOneEngine(Documents_), options(), hooks()) {}
 
-  void ask(std::uint64_t Number, const CellId &Target = Cell) {
-    Keeper_.ask(Target, asked(Number));
+  void requestGrant(std::uint64_t Number, const CellId &Target = Cell) {
+    Keeper_.requestGrant(Target, asked(Number));
     settle();
   }
-  static AskedRequest asked(std::uint64_t Number) {
-    AskedRequest Asked;
+  static GrantRequest asked(std::uint64_t Number) {
+    GrantRequest Asked;
     Asked.Id_ = {1, Number};
     Asked.Customer_ = CustomerName("c");
     Asked.Deadline_ = std::chrono::steady_clock::now() + std::chrono::hours(1);
-    Asked.Entry_ = Ingress;
+    Asked.Ingress_ = Ingress;
     return Asked;
   }
   /// Runs all posted handlers.
@@ -75,8 +75,8 @@
   /// run to run.
   static KeeperService::Options options() {
     KeeperService::Options Options;
-    Options.RoundPause_ = 0;
-    Options.PlaceGrace_ = std::chrono::milliseconds(0);
+    Options.RoundPauseFactor_ = 0;
+    Options.SlotGrace_ = std::chrono::milliseconds(0);
     return Options;
   }
   static DocumentStore &withOneEngine(DocumentStore &Documents) {
@@ -135,25 +135,25 @@
   // another keeper; seconds later it reconnects. The reconnection does not mean
   // that its earlier requests still run.
   OneEngineKeeper Paused;
-  Paused.ask(1);
+  Paused.requestGrant(1);
   REQUIRE(Paused.granted(1));
-  Paused.Keeper_.entryGone(Ingress);
-  Paused.Keeper_.entryBack(Ingress);
-  Paused.ask(2);
+  Paused.Keeper_.ingressDisconnected(Ingress);
+  Paused.Keeper_.ingressReconnected(Ingress);
+  Paused.requestGrant(2);
   CHECK(Paused.granted(2));
 }
 
 TEST_CASE("a request reported as running on a new link takes its slot again") {
   OneEngineKeeper Paused;
-  Paused.ask(1);
-  Paused.Keeper_.entryGone(Ingress);
-  Paused.Keeper_.entryBack(Ingress);
+  Paused.requestGrant(1);
+  Paused.Keeper_.ingressDisconnected(Ingress);
+  Paused.Keeper_.ingressReconnected(Ingress);
   RunningRequest Running;
   Running.Id_ = {1, 1};
   Running.Server_ = ServerName("engine");
-  Running.Entry_ = Ingress;
+  Running.Ingress_ = Ingress;
   Paused.Keeper_.running(Cell, Running);
-  Paused.ask(2);
+  Paused.requestGrant(2);
   CHECK_FALSE(Paused.granted(2));
   // The request continues at its ingress daemon, so it must not be cancelled.
   CHECK(Paused.Orphans_.empty());
@@ -163,8 +163,8 @@
     "a keeper that does not know a cell's pool answers NotReady, instead of "
     "reporting no engines") {
   OneEngineKeeper Keeper;
-  Keeper.ask(1, {ServiceName("unknown"), ThePool, 0});
-  Keeper.ask(2, {Service, PoolName("unknown"), 0});
+  Keeper.requestGrant(1, {ServiceName("unknown"), ThePool, 0});
+  Keeper.requestGrant(2, {Service, PoolName("unknown"), 0});
   CHECK(Keeper.Refused_[{1, 1}] == ResultCode::NotReady);
   CHECK(Keeper.Refused_[{1, 2}] == ResultCode::NotReady);
 }
@@ -177,19 +177,19 @@
   // back and change the tables during the iteration.
   OneEngineKeeper Daemon;
   KeeperService &Keeper = Daemon.Keeper_;
-  Daemon.ask(1);
+  Daemon.requestGrant(1);
   REQUIRE(Daemon.granted(1));
-  AskedRequest Waiting = OneEngineKeeper::asked(2);
-  Waiting.Entry_ = VmId("other");
+  GrantRequest Waiting = OneEngineKeeper::asked(2);
+  Waiting.Ingress_ = VmId("other");
   Waiting.Tier_ = TierIndex(1);
-  Keeper.ask(Cell, Waiting);
+  Keeper.requestGrant(Cell, Waiting);
   Daemon.settle();
   REQUIRE_FALSE(Daemon.granted(2));
   std::function<void()> Decide;
   SUBCASE("a grant request") {
     Decide = [&] {
-      Keeper.ask({ServiceName("unknown"), ThePool, 0},
-                 OneEngineKeeper::asked(3));
+      Keeper.requestGrant({ServiceName("unknown"), ThePool, 0},
+                          OneEngineKeeper::asked(3));
     };
   }
   SUBCASE("a withdrawal") {
@@ -199,18 +199,18 @@
     Decide = [&] { Keeper.done(Cell, {1, 1}, ServedSample()); };
   }
   SUBCASE("a returned grant") {
-    Decide = [&] { Keeper.handBack({1, 1}); };
+    Decide = [&] { Keeper.returnGrant({1, 1}); };
   }
   SUBCASE("a new link of an ingress daemon") {
-    Decide = [&] { Keeper.entryBack(Ingress); };
+    Decide = [&] { Keeper.ingressReconnected(Ingress); };
   }
   SUBCASE("the death of an ingress daemon") {
-    Decide = [&] { Keeper.entryDead(Ingress); };
+    Decide = [&] { Keeper.ingressDied(Ingress); };
   }
   SUBCASE("the admission floor of another keeper") {
     auto Until = std::chrono::steady_clock::now() + std::chrono::hours(1);
     Decide = [&Keeper, Until] {
-      Keeper.floorSeen({Service, ThePool, TierIndex(0), Until});
+      Keeper.onRemoteFloor({Service, ThePool, TierIndex(0), Until});
     };
   }
   SUBCASE("a new configuration") {
@@ -225,12 +225,12 @@
   // If the grant were delivered although its slot was granted to another
   // request meanwhile, two requests would share one slot of an engine.
   OneEngineKeeper Daemon;
-  Daemon.Keeper_.ask(Cell, OneEngineKeeper::asked(1));
+  Daemon.Keeper_.requestGrant(Cell, OneEngineKeeper::asked(1));
   SUBCASE("its request is withdrawn") { Daemon.Keeper_.withdraw(Cell, {1, 1}); }
   SUBCASE("its ingress daemon has a new link") {
-    Daemon.Keeper_.entryBack(Ingress);
+    Daemon.Keeper_.ingressReconnected(Ingress);
   }
-  Daemon.ask(2);
+  Daemon.requestGrant(2);
   CHECK_FALSE(Daemon.granted(1));
   CHECK(Daemon.granted(2));
 }
@@ -238,7 +238,7 @@
 TEST_CASE("a grant that is taken back before it is told uses no allotment") {
   OneEngineKeeper Daemon;
   Daemon.Keeper_.refresh();
-  AskedRequest Asked = OneEngineKeeper::asked(0);
+  GrantRequest Asked = OneEngineKeeper::asked(0);
   Asked.Customer_ = CustomerName("limited");
   auto Granted = [&] {
     return Daemon.Keeper_.scheduler(Cell)->findRunning(Asked.Id_).has_value();
@@ -248,18 +248,18 @@
   while (!Granted() && std::chrono::steady_clock::now() < End) {
     Daemon.settle();
     ++Asked.Id_.Sequence_;
-    Daemon.Keeper_.ask(Cell, Asked);
+    Daemon.Keeper_.requestGrant(Cell, Asked);
   }
   REQUIRE(Granted());
   SUBCASE("its request is withdrawn") {
     Daemon.Keeper_.withdraw(Cell, Asked.Id_);
   }
   SUBCASE("its ingress daemon has a new link") {
-    Daemon.Keeper_.entryBack(Ingress);
+    Daemon.Keeper_.ingressReconnected(Ingress);
   }
   Daemon.settle();
   ++Asked.Id_.Sequence_;
-  Daemon.Keeper_.ask(Cell, Asked);
+  Daemon.Keeper_.requestGrant(Cell, Asked);
   CHECK(Granted());
 }
 
@@ -267,13 +267,13 @@
   OneEngineKeeper Daemon;
   auto Begin = std::chrono::steady_clock::now();
   Daemon.Keeper_.refresh();
-  AskedRequest Asked = OneEngineKeeper::asked(0);
+  GrantRequest Asked = OneEngineKeeper::asked(0);
   Asked.Customer_ = CustomerName("limited");
   std::chrono::duration<double> Elapsed{0};
   constexpr std::chrono::milliseconds TimeOfThree{300};
   while (Daemon.Granted_.empty() || Elapsed < TimeOfThree) {
     ++Asked.Id_.Sequence_;
-    Daemon.Keeper_.ask(Cell, Asked);
+    Daemon.Keeper_.requestGrant(Cell, Asked);
     Daemon.settle();
     Daemon.Keeper_.withdraw(Cell, Asked.Id_);
     Elapsed = std::chrono::steady_clock::now() - Begin;
@@ -287,12 +287,12 @@
 const VmId OtherIngress("other-entry");
 
 void askFrom(OneEngineKeeper &Keeper, const VmId &From, std::uint64_t Number) {
-  AskedRequest Asked;
+  GrantRequest Asked;
   Asked.Id_ = {1, Number};
   Asked.Customer_ = CustomerName("c");
   Asked.Deadline_ = std::chrono::steady_clock::now() + std::chrono::hours(1);
-  Asked.Entry_ = From;
-  Keeper.Keeper_.ask(Cell, std::move(Asked));
+  Asked.Ingress_ = From;
+  Keeper.Keeper_.requestGrant(Cell, std::move(Asked));
   Keeper.Control_.poll();
 }
 
@@ -319,7 +319,7 @@
   askFrom(Paused, Ingress, 2);
   askFrom(Paused, OtherIngress, 3);
   REQUIRE(Paused.granted(1));
-  Paused.Keeper_.entryGone(Ingress);
+  Paused.Keeper_.ingressDisconnected(Ingress);
   Paused.Keeper_.done(Cell, {1, 1}, ServedSample());
   CHECK(grantedInTime(Paused, 3));
   CHECK_FALSE(Paused.granted(2));
@@ -334,18 +334,18 @@
   askFrom(Paused, Ingress, 1);
   askFrom(Paused, OtherIngress, 2);
   REQUIRE(Paused.granted(1));
-  Paused.Keeper_.entryGone(Ingress);
+  Paused.Keeper_.ingressDisconnected(Ingress);
   CHECK(grantedInTime(Paused, 2));
   CHECK(Paused.Orphans_.empty());
   SUBCASE("its requests are cancelled at their engines if the ingress daemon "
           "dies") {
-    Paused.Keeper_.entryDead(Ingress);
+    Paused.Keeper_.ingressDied(Ingress);
     Paused.Control_.poll();
     CHECK(Paused.Orphans_ == std::vector<RequestId>{{1, 1}});
   }
   SUBCASE("its requests are not cancelled if it reconnects") {
-    Paused.Keeper_.entryBack(Ingress);
-    Paused.Keeper_.entryDead(Ingress);
+    Paused.Keeper_.ingressReconnected(Ingress);
+    Paused.Keeper_.ingressDied(Ingress);
     Paused.Control_.poll();
     CHECK(Paused.Orphans_.empty());
   }
--- a/UnitTests/Process/Membership/MembershipFleetTest.cpp
+++ b/UnitTests/Process/Membership/MembershipFleetTest.cpp
@@ -27,7 +27,7 @@
   // probes per second.
   SimulatedFleet Fleet(FleetSize, {});
   Fleet.runFor(seconds(2));
-  Fleet.accuse(1, 0);
+  Fleet.makeSuspect(1, 0);
   // The suspect has no time to answer meanwhile.
   Fleet.keepBusy(0, seconds(2));
   std::uint64_t Before = Fleet.received(0);
@@ -52,8 +52,8 @@
     Fleet.runFor(milliseconds(500));
   }
   MESSAGE("suspicions " << Fleet.falseSuspicions() << ", deaths "
-                        << Fleet.falselyDead());
-  CHECK(Fleet.falselyDead() == 0);
+                        << Fleet.falseDeaths());
+  CHECK(Fleet.falseDeaths() == 0);
 }
 
 TEST_CASE("lost datagrams kill nobody") {
@@ -67,7 +67,7 @@
   Fleet.runFor(seconds(30));
   MESSAGE("suspicions " << Fleet.falseSuspicions());
   // Out of 90,000 views.
-  CHECK(Fleet.falselyDead() <= 9);
+  CHECK(Fleet.falseDeaths() <= 9);
 }
 
 TEST_CASE("a death is known to all soon after it is detected") {
--- a/UnitTests/Process/Membership/PeerNetworkTest.cpp
+++ b/UnitTests/Process/Membership/PeerNetworkTest.cpp
@@ -93,12 +93,12 @@
   }
   PeerNetwork::Hooks serverHooks() {
     PeerNetwork::Hooks Hooks;
-    Hooks.Asked_ = [this](const VmId &, wire::EnvelopeT Message) {
+    Hooks.RequestReceived_ = [this](const VmId &, wire::EnvelopeT Message) {
       if (const auto *Request = Message.body.AsDocumentRequest())
         Received_.insert(VmId(Request->service));
     };
-    Hooks.AskerCame_ = [](const VmId &) {};
-    Hooks.AskerGone_ = [](const VmId &) {};
+    Hooks.PeerConnected_ = [](const VmId &) {};
+    Hooks.PeerDisconnected_ = [](const VmId &) {};
     return Hooks;
   }
   PeerNetwork::Hooks clientHooks() {
--- a/UnitTests/Process/Membership/PeerPortTest.cpp
+++ b/UnitTests/Process/Membership/PeerPortTest.cpp
@@ -28,7 +28,7 @@
       Opened_.push_back(Address.port());
       return {};
     };
-    return openAtOnePort(at(Wanted), OpenTcp, OpenUdp);
+    return openOnSamePort(at(Wanted), OpenTcp, OpenUdp);
   }
 
   std::vector<std::uint16_t> Opened_;
@@ -60,5 +60,5 @@
 TEST_CASE("the number of ports tried is limited") {
   FakePorts Ports(60000);
   CHECK(!Ports.open(0).has_value());
-  CHECK(Ports.Tries_ == ChosenPortTries);
+  CHECK(Ports.Tries_ == MaxPortAttempts);
 }
--- a/UnitTests/Process/Membership/SimulatedFleet.cpp
+++ b/UnitTests/Process/Membership/SimulatedFleet.cpp
@@ -88,8 +88,8 @@
   Events_.push({Due, NextNumber_++, std::move(Handler)});
 }
 
-void SimulatedFleet::work(std::size_t Index, microseconds Cost,
-                          std::function<void()> Work) {
+void SimulatedFleet::runOnVm(std::size_t Index, microseconds Cost,
+                             std::function<void()> Work) {
   Node &Target = *Nodes_[Index];
   double Factor = Target.Slowness_ / Options_.CoreShare_;
   TimePoint Begins = std::max(Now_, Target.BusyUntil_);
@@ -108,9 +108,9 @@
     if (Nodes_[Index]->Process_ != Process)
       return;
     constexpr microseconds StepCost{20};
-    work(Index, StepCost, [this, Index, Due] {
+    runOnVm(Index, StepCost, [this, Index, Due] {
       MembershipProtocol &Protocol = *Nodes_[Index]->Protocol_;
-      Protocol.wokeLate(Now_ - Due);
+      Protocol.onLateTimer(Now_ - Due);
       planStep(Index, Protocol.step(Now_));
     });
   });
@@ -129,7 +129,7 @@
          if (!Nodes_[Target]->Alive_)
            return;
          ++Nodes_[Target]->Received_;
-         work(Target, Options_.MessageCost_, [this, From, Target, Datagram] {
+         runOnVm(Target, Options_.MessageCost_, [this, From, Target, Datagram] {
            Nodes_[Target]->Protocol_->receive(Datagram, addressOf(From), Now_);
          });
        });
@@ -139,7 +139,7 @@
   if (!Nodes_[Viewer]->Alive_ || !Nodes_[indexOf(Changed.Id_)]->Alive_)
     return;
   FalseSuspicions_ += Changed.Status_ == MemberStatus::Suspect;
-  FalselyDead_ += Changed.Status_ == MemberStatus::Dead;
+  FalseDeaths_ += Changed.Status_ == MemberStatus::Dead;
 }
 
 void SimulatedFleet::runFor(milliseconds Duration) {
@@ -184,7 +184,7 @@
   Target.BusyUntil_ = std::max(Now_, Target.BusyUntil_) + Duration;
 }
 
-void SimulatedFleet::accuse(std::size_t Accuser, std::size_t Target) {
+void SimulatedFleet::makeSuspect(std::size_t Accuser, std::size_t Target) {
   members(Accuser).suspect(nameOf(Target), Now_);
 }
 
--- a/UnitTests/Process/Membership/SimulatedFleet.h
+++ b/UnitTests/Process/Membership/SimulatedFleet.h
@@ -55,7 +55,7 @@
   /// can't reach each other; all start on side 0.
   void setSide(std::size_t Index, int Side) { Nodes_[Index]->Side_ = Side; }
   /// Makes one daemon suspect another, as if it had not answered.
-  void accuse(std::size_t Accuser, std::size_t Target);
+  void makeSuspect(std::size_t Accuser, std::size_t Target);
 
   std::size_t size() const { return Nodes_.size(); }
   bool alive(std::size_t Index) const { return Nodes_[Index]->Alive_; }
@@ -68,7 +68,7 @@
   /// Return how often a live daemon changed its view of another live one to
   /// suspect, or to dead.
   std::uint64_t falseSuspicions() const { return FalseSuspicions_; }
-  std::uint64_t falselyDead() const { return FalselyDead_; }
+  std::uint64_t falseDeaths() const { return FalseDeaths_; }
   /// Returns the number of datagrams that reached the daemon.
   std::uint64_t received(std::size_t Index) const {
     return Nodes_[Index]->Received_;
@@ -102,8 +102,8 @@
   void start(std::size_t Index);
   void plan(TimePoint Due, std::function<void()> Handler);
   /// Runs \p Work once the VM is free and has spent \p Cost on it.
-  void work(std::size_t Index, std::chrono::microseconds Cost,
-            std::function<void()> Work);
+  void runOnVm(std::size_t Index, std::chrono::microseconds Cost,
+               std::function<void()> Work);
   void planStep(std::size_t Index, TimePoint Due);
   void deliver(std::size_t From, const Endpoint &To, std::string Datagram);
   void countChange(std::size_t Viewer, const Member &Changed);
@@ -116,7 +116,7 @@
   std::priority_queue<Event> Events_;
   std::vector<std::unique_ptr<Node>> Nodes_;
   std::uint64_t FalseSuspicions_ = 0;
-  std::uint64_t FalselyDead_ = 0;
+  std::uint64_t FalseDeaths_ = 0;
   std::uint64_t BytesSent_ = 0;
 };
 
--- a/UnitTests/Process/Scheduling/AllotmentLedgerTest.cpp
+++ b/UnitTests/Process/Scheduling/AllotmentLedgerTest.cpp
@@ -26,9 +26,9 @@
   std::uint64_t Sequence = 0;
   for (milliseconds Passed{0}; Passed < Length; Passed += milliseconds(10)) {
     RequestId Id{1, ++Sequence};
-    if (!Ledger.take({Id, Hot, 10}, hundredPerSecond(), Share, From + Passed))
+    if (!Ledger.charge({Id, Hot, 10}, hundredPerSecond(), Share, From + Passed))
       continue;
-    Ledger.used(Id);
+    Ledger.commit(Id);
     Admitted += 10;
   }
   return Admitted;
@@ -64,13 +64,13 @@
 
 TEST_CASE("a request that is not granted does not count") {
   AllotmentLedger Ledger({.Credit_ = 0}, Start - seconds(1));
-  CHECK(Ledger.take({{1, 1}, Hot, 100}, hundredPerSecond(), 1, Start));
-  CHECK_FALSE(Ledger.take({{1, 2}, Hot, 100}, hundredPerSecond(), 1, Start));
-  Ledger.giveBack({1, 1});
-  CHECK(Ledger.take({{1, 2}, Hot, 100}, hundredPerSecond(), 1, Start));
-  Ledger.used({1, 2});
-  Ledger.giveBack({1, 2});
-  CHECK_FALSE(Ledger.take({{1, 3}, Hot, 100}, hundredPerSecond(), 1, Start));
+  CHECK(Ledger.charge({{1, 1}, Hot, 100}, hundredPerSecond(), 1, Start));
+  CHECK_FALSE(Ledger.charge({{1, 2}, Hot, 100}, hundredPerSecond(), 1, Start));
+  Ledger.refund({1, 1});
+  CHECK(Ledger.charge({{1, 2}, Hot, 100}, hundredPerSecond(), 1, Start));
+  Ledger.commit({1, 2});
+  Ledger.refund({1, 2});
+  CHECK_FALSE(Ledger.charge({{1, 3}, Hot, 100}, hundredPerSecond(), 1, Start));
 }
 
 TEST_CASE("the tolerance within a window is used, and not exceeded") {
@@ -88,7 +88,7 @@
 
 TEST_CASE("a customer without an allotment is not counted") {
   AllotmentLedger Ledger({.Credit_ = 0}, Start);
-  CHECK(Ledger.take({{1, 1}, Hot, 1e9}, Allotment(), 1, Start));
+  CHECK(Ledger.charge({{1, 1}, Hot, 1e9}, Allotment(), 1, Start));
 }
 
 TEST_CASE("small requests of a low tier leave room for large ones of a high "
@@ -109,18 +109,18 @@
   for (std::uint64_t Step = 0; Step < 800; ++Step) {
     auto Now = Start + seconds(20) + milliseconds(25) * Step;
     AllotmentLedger::Charge Small{{1, Step}, Hot, 20, true};
-    if (Ledger.take(Small, Allowed, 1, Now))
+    if (Ledger.charge(Small, Allowed, 1, Now))
       Admitted += 20;
-    Ledger.used(Small.Id_);
+    Ledger.commit(Small.Id_);
     if (Step % 20 != 10)
       continue;
     AllotmentLedger::Charge HighTier{{2, Step}, Hot, 70, false};
     ++Large;
-    if (Ledger.take(HighTier, Allowed, 1, Now)) {
+    if (Ledger.charge(HighTier, Allowed, 1, Now)) {
       ++LargeAdmitted;
       Admitted += 70;
     }
-    Ledger.used(HighTier.Id_);
+    Ledger.commit(HighTier.Id_);
   }
   CHECK(LargeAdmitted > 0.6 * Large);
   CHECK(Admitted <= 100 * 20 + 200 + 500 * 20 / 8);
@@ -128,12 +128,12 @@
 
 TEST_CASE("a refused request gets the time after which it would fit") {
   AllotmentLedger Ledger({.Credit_ = 0}, Start - seconds(1));
-  CHECK(Ledger.take({{1, 1}, Hot, 100}, hundredPerSecond(), 1, Start));
+  CHECK(Ledger.charge({{1, 1}, Hot, 100}, hundredPerSecond(), 1, Start));
   AllotmentLedger::Charge Next{{1, 2}, Hot, 50};
-  CHECK_FALSE(Ledger.take(Next, hundredPerSecond(), 1, Start));
-  CHECK(Ledger.fitsIn(Next, hundredPerSecond(), 1) == milliseconds(500));
+  CHECK_FALSE(Ledger.charge(Next, hundredPerSecond(), 1, Start));
+  CHECK(Ledger.timeUntilFit(Next, hundredPerSecond(), 1) == milliseconds(500));
   Next.Cost_ = 500;
-  CHECK(Ledger.fitsIn(Next, hundredPerSecond(), 1) == milliseconds(8000));
+  CHECK(Ledger.timeUntilFit(Next, hundredPerSecond(), 1) == milliseconds(8000));
 }
 
 // Guards against a keeper with a small share that never admits a large request.
@@ -150,8 +150,8 @@
     for (std::uint64_t Step = 0; Step < 800; ++Step) {
       AllotmentLedger::Charge Large{{1, Step}, Hot, Cost, false};
       auto Now = Start + seconds(20) + milliseconds(10) * Step;
-      Granted += Ledger.take(Large, hundredPerSecond(), Share, Now);
-      Ledger.used(Large.Id_);
+      Granted += Ledger.charge(Large, hundredPerSecond(), Share, Now);
+      Ledger.commit(Large.Id_);
     }
     CHECK(Granted >= 2);
     Admitted += Cost * Granted;
@@ -165,11 +165,11 @@
   AllotmentLedger Ledger({.Credit_ = 500}, Start);
   auto Now = Start + seconds(20);
   AllotmentLedger::Charge Large{{1, 1}, Hot, 220, false};
-  CHECK(Ledger.take(Large, hundredPerSecond(), 1, Now));
+  CHECK(Ledger.charge(Large, hundredPerSecond(), 1, Now));
   Large.Id_ = {1, 2};
-  CHECK_FALSE(Ledger.take(Large, hundredPerSecond(), 1, Now));
-  Ledger.giveBack({1, 1});
-  CHECK(Ledger.take(Large, hundredPerSecond(), 1, Now));
+  CHECK_FALSE(Ledger.charge(Large, hundredPerSecond(), 1, Now));
+  Ledger.refund({1, 1});
+  CHECK(Ledger.charge(Large, hundredPerSecond(), 1, Now));
 }
 
 // Guards against callers with a request larger than a bucket that are told to
@@ -180,13 +180,13 @@
   AllotmentLedger Ledger({.Credit_ = 500}, Start);
   auto Now = Start + seconds(20);
   AllotmentLedger::Charge Large{{1, 1}, Hot, 220, false};
-  REQUIRE(Ledger.take(Large, hundredPerSecond(), 1, Now));
-  Ledger.used(Large.Id_);
+  REQUIRE(Ledger.charge(Large, hundredPerSecond(), 1, Now));
+  Ledger.commit(Large.Id_);
   Large.Id_ = {1, 2};
-  CHECK_FALSE(Ledger.take(Large, hundredPerSecond(), 1, Now));
-  auto Wait = Ledger.fitsIn(Large, hundredPerSecond(), 1);
-  CHECK_FALSE(
-      Ledger.take(Large, hundredPerSecond(), 1, Now + Wait - milliseconds(5)));
-  CHECK(
-      Ledger.take(Large, hundredPerSecond(), 1, Now + Wait + milliseconds(5)));
+  CHECK_FALSE(Ledger.charge(Large, hundredPerSecond(), 1, Now));
+  auto Wait = Ledger.timeUntilFit(Large, hundredPerSecond(), 1);
+  CHECK_FALSE(Ledger.charge(Large, hundredPerSecond(), 1,
+                            Now + Wait - milliseconds(5)));
+  CHECK(Ledger.charge(Large, hundredPerSecond(), 1,
+                      Now + Wait + milliseconds(5)));
 }
--- a/UnitTests/Process/Scheduling/EngineSpeedTest.cpp
+++ b/UnitTests/Process/Scheduling/EngineSpeedTest.cpp
@@ -10,7 +10,7 @@
 milliseconds millisUntilFirstToken(const EngineSpeed &Speed,
                                    std::int64_t Unread) {
   return std::chrono::duration_cast<milliseconds>(
-      Speed.untilFirstToken(Tokens(Unread)));
+      Speed.timeToFirstToken(Tokens(Unread)));
 }
 
 /// \returns the speed of an engine whose first tokens come after 40 ms plus \p
@@ -54,17 +54,17 @@
   Speed.stream(Tokens(100), milliseconds(800));
   for (int Count = 0; Count < 20; ++Count)
     Speed.stream(Tokens(0), milliseconds(0));
-  CHECK(Speed.betweenTokens() == milliseconds(8));
+  CHECK(Speed.timeBetweenTokens() == milliseconds(8));
 }
 
 TEST_CASE(
     "an engine that slows down is recognized within some thousand tokens") {
   EngineSpeed Speed;
   Speed.stream(Tokens(5000), milliseconds(15000));
-  CHECK(Speed.betweenTokens() == milliseconds(3));
+  CHECK(Speed.timeBetweenTokens() == milliseconds(3));
   for (int Count = 0; Count < 5; ++Count)
     Speed.stream(Tokens(400), milliseconds(6000));
-  CHECK(Speed.betweenTokens() > milliseconds(10));
+  CHECK(Speed.timeBetweenTokens() > milliseconds(10));
 }
 
 TEST_CASE("a new engine is assumed to be like its pool until it is measured") {
--- a/UnitTests/Process/Scheduling/NaiveScheduler.h
+++ b/UnitTests/Process/Scheduling/NaiveScheduler.h
@@ -13,13 +13,14 @@
 public:
   NaiveScheduler(Scheduler::Options Settings,
                  std::vector<ServerCapacity> Servers,
-                 std::map<CustomerName, CustomerShare> Shares)
-      : Options_(Settings), Shares_(std::move(Shares)) {
+                 std::map<CustomerName, CustomerPolicy> Shares)
+      : Options_(Settings), CustomerPolicies_(std::move(Shares)) {
     for (const ServerCapacity &Capacity : Servers)
       Servers_.emplace(Capacity.Name_, ServerModel(Capacity));
   }
 
-  std::vector<Decision> ask(const AskedRequest &Request, TimePoint Now) {
+  std::vector<Decision> requestGrant(const GrantRequest &Request,
+                                     TimePoint Now) {
     std::vector<Decision> Out;
     if (find(Request.Id_) != Waiting_.end())
       return Out;
@@ -42,7 +43,7 @@
     }
     if (Waiting_.size() >= Options_.MaxWaiting_ &&
         !shedLowest(Request.Tier_, Out)) {
-      noteShed(Request.Tier_, Now, Out);
+      handleShed(Request.Tier_, Now, Out);
       refuse(Request, ResultCode::QueueFull, Out);
       return Out;
     }
@@ -60,13 +61,13 @@
 
   void done(const RequestId &Id) { end(Id); }
 
-  std::vector<RequestId> removeEntry(const VmId &Ingress) {
+  std::vector<RequestId> removeIngressRequests(const VmId &Ingress) {
     std::erase_if(Waiting_, [&](const WaitingRequest &One) {
-      return One.Asked_.Entry_ == Ingress;
+      return One.Details_.Ingress_ == Ingress;
     });
     std::vector<RequestId> Orphans;
     for (const RunningRequest &One : Running_)
-      if (One.Entry_ == Ingress)
+      if (One.Ingress_ == Ingress)
         Orphans.push_back(One.Id_);
     for (const RequestId &Id : Orphans)
       end(Id);
@@ -86,14 +87,14 @@
   std::size_t waitingBelow(TierIndex Tier) const {
     return static_cast<std::size_t>(
         std::ranges::count_if(Waiting_, [&](const WaitingRequest &One) {
-          return One.Asked_.Tier_ > Tier;
+          return One.Details_.Tier_ > Tier;
         }));
   }
   bool cancelled(const RequestId &Id) const { return Cancelled_.contains(Id); }
 
 private:
   struct WaitingRequest {
-    AskedRequest Asked_;
+    GrantRequest Details_;
     std::uint64_t Arrival_ = 0;
     bool Preempting_ = false;
   };
@@ -101,7 +102,7 @@
 
   std::vector<WaitingRequest>::iterator find(const RequestId &Id) {
     return std::ranges::find_if(Waiting_, [&](const WaitingRequest &One) {
-      return One.Asked_.Id_ == Id;
+      return One.Details_.Id_ == Id;
     });
   }
 
@@ -114,26 +115,26 @@
     Running_.erase(Found);
   }
 
-  void refuse(const AskedRequest &Request, ResultCode Code,
+  void refuse(const GrantRequest &Request, ResultCode Code,
               std::vector<Decision> &Out) {
-    Out.push_back(RefuseDecision{Request.Id_, Code, {}, Request.Entry_});
+    Out.push_back(RefuseDecision{Request.Id_, Code, {}, Request.Ingress_});
   }
 
   bool waits(const ServedKey &Key) const {
     return std::ranges::any_of(Waiting_, [&](const WaitingRequest &One) {
-      return One.Asked_.Tier_ == Key.first &&
-             One.Asked_.Customer_ == Key.second;
+      return One.Details_.Tier_ == Key.first &&
+             One.Details_.Customer_ == Key.second;
     });
   }
 
-  void activate(const AskedRequest &Request) {
+  void activate(const GrantRequest &Request) {
     ServedKey Key{Request.Tier_, Request.Customer_};
     if (waits(Key))
       return;
     std::optional<double> MinServed;
     for (const WaitingRequest &One : Waiting_)
-      if (One.Asked_.Tier_ == Request.Tier_) {
-        double Served = Served_[{One.Asked_.Tier_, One.Asked_.Customer_}];
+      if (One.Details_.Tier_ == Request.Tier_) {
+        double Served = Served_[{One.Details_.Tier_, One.Details_.Customer_}];
         MinServed = MinServed ? std::min(*MinServed, Served) : Served;
       }
     double &Own = Served_[Key];
@@ -142,19 +143,19 @@
 
   /// \returns the key that orders waiting requests by when they are served.
   auto order(const WaitingRequest &One) {
-    ServedKey Key{One.Asked_.Tier_, One.Asked_.Customer_};
-    return std::tuple(One.Asked_.Tier_, Served_[Key], One.Asked_.Customer_,
-                      One.Asked_.Deadline_, One.Arrival_);
+    ServedKey Key{One.Details_.Tier_, One.Details_.Customer_};
+    return std::tuple(One.Details_.Tier_, Served_[Key], One.Details_.Customer_,
+                      One.Details_.Deadline_, One.Arrival_);
   }
 
-  bool atCeiling(const CustomerName &Customer) const {
-    std::uint32_t Limit = Shares_.at(Customer).MaxInFlight_;
+  bool atMaxInFlight(const CustomerName &Customer) const {
+    std::uint32_t Limit = CustomerPolicies_.at(Customer).MaxInFlight_;
     auto Count =
         std::ranges::count(Running_, Customer, &RunningRequest::Customer_);
     return Limit > 0 && static_cast<std::uint32_t>(Count) >= Limit;
   }
 
-  ServerModel *choose(const AskedRequest &Request) {
+  ServerModel *chooseEngine(const GrantRequest &Request) {
     ServerModel *Best = nullptr;
     auto Score = [&](const ServerModel &Server) {
       return std::pair(
@@ -177,12 +178,12 @@
     std::map<ServedKey, int> Tried;
     constexpr int MaxChecked = 8;
     for (const WaitingRequest &One : Sorted) {
-      const AskedRequest &Details = One.Asked_;
+      const GrantRequest &Details = One.Details_;
       // Only the first few requests of each customer in a tier are considered.
       bool TooMany = ++Tried[{Details.Tier_, Details.Customer_}] > MaxChecked;
-      if (TooMany || atCeiling(Details.Customer_))
+      if (TooMany || atMaxInFlight(Details.Customer_))
         continue;
-      ServerModel *Server = choose(Details);
+      ServerModel *Server = chooseEngine(Details);
       if (!Server)
         continue;
       serve(Details, *Server, Out);
@@ -191,30 +192,30 @@
     return false;
   }
 
-  void serve(AskedRequest Details, ServerModel &Server,
+  void serve(GrantRequest Details, ServerModel &Server,
              std::vector<Decision> &Out) {
     double Cost = static_cast<double>(
         std::max<std::int64_t>(1, (Details.Prompt_ + Details.Answer_).count()));
     Served_[{Details.Tier_, Details.Customer_}] +=
-        Cost / Shares_.at(Details.Customer_).Weight_;
+        Cost / CustomerPolicies_.at(Details.Customer_).Weight_;
     Waiting_.erase(find(Details.Id_));
     Server.start(Details.Id_, Details.Prompt_, Details.Prefix_);
     ServerName Name = Server.capacity().Name_;
     Running_.push_back({Details.Id_, Details.Tier_, Details.Customer_, Name,
                         Details.Prompt_, Details.Answer_,
-                        Details.NonIdempotent_, Details.Entry_});
-    Out.push_back(GrantDecision{Details.Id_, Name, Details.Entry_});
+                        Details.NonIdempotent_, Details.Ingress_});
+    Out.push_back(GrantDecision{Details.Id_, Name, Details.Ingress_});
   }
 
   bool shedLowest(TierIndex Above, std::vector<Decision> &Out) {
     auto Victim = Waiting_.end();
     for (auto One = Waiting_.begin(); One != Waiting_.end(); ++One)
-      if (One->Asked_.Tier_ > Above &&
+      if (One->Details_.Tier_ > Above &&
           (Victim == Waiting_.end() || order(*Victim) < order(*One)))
         Victim = One;
     if (Victim == Waiting_.end())
       return false;
-    refuse(Victim->Asked_, ResultCode::ShedForHigherTier, Out);
+    refuse(Victim->Details_, ResultCode::ShedForHigherTier, Out);
     Waiting_.erase(Victim);
     return true;
   }
@@ -234,14 +235,15 @@
     if (!Victim)
       return false;
     Cancelled_.insert(Victim->Id_);
-    Out.push_back(CancelDecision{Victim->Id_, Victim->Server_, Victim->Entry_});
+    Out.push_back(
+        CancelDecision{Victim->Id_, Victim->Server_, Victim->Ingress_});
     return true;
   }
 
-  void noteShed(TierIndex Tier, TimePoint Now, std::vector<Decision> &Out) {
+  void handleShed(TierIndex Tier, TimePoint Now, std::vector<Decision> &Out) {
     if (!(Floor_ && Now < FloorUntil_ && *Floor_ <= Tier))
       Floor_ = Tier;
-    FloorUntil_ = std::max(FloorUntil_, Now + Options_.FloorHold_);
+    FloorUntil_ = std::max(FloorUntil_, Now + Options_.FloorDuration_);
     while (shedLowest(Tier, Out)) {
     }
     while (preemptFor(Tier, Out)) {
@@ -251,8 +253,8 @@
   std::vector<RequestId> dueBy(TimePoint Limit) const {
     std::vector<std::pair<TimePoint, RequestId>> Due;
     for (const WaitingRequest &One : Waiting_)
-      if (One.Asked_.Deadline_ <= Limit)
-        Due.emplace_back(One.Asked_.Deadline_, One.Asked_.Id_);
+      if (One.Details_.Deadline_ <= Limit)
+        Due.emplace_back(One.Details_.Deadline_, One.Details_.Id_);
     std::ranges::sort(Due);
     std::vector<RequestId> Ids;
     for (const auto &[Deadline, Id] : Due)
@@ -263,8 +265,8 @@
   void preemptUrgent(TimePoint Now, std::vector<Decision> &Out) {
     for (const RequestId &Id : dueBy(Now + Options_.PreemptMargin_)) {
       auto One = find(Id);
-      if (!One->Preempting_ && !atCeiling(One->Asked_.Customer_))
-        One->Preempting_ = preemptFor(One->Asked_.Tier_, Out);
+      if (!One->Preempting_ && !atMaxInFlight(One->Details_.Customer_))
+        One->Preempting_ = preemptFor(One->Details_.Tier_, Out);
     }
   }
 
@@ -273,16 +275,16 @@
       auto One = find(Id);
       if (One == Waiting_.end())
         continue;
-      AskedRequest Details = One->Asked_;
+      GrantRequest Details = One->Details_;
       Waiting_.erase(One);
-      noteShed(Details.Tier_, Now, Out);
+      handleShed(Details.Tier_, Now, Out);
       refuse(Details, ResultCode::DeadlineInQueue, Out);
     }
   }
 
   Scheduler::Options Options_;
   std::map<ServerName, ServerModel> Servers_;
-  std::map<CustomerName, CustomerShare> Shares_;
+  std::map<CustomerName, CustomerPolicy> CustomerPolicies_;
   std::map<ServedKey, double> Served_;
   std::vector<WaitingRequest> Waiting_;
   std::vector<RunningRequest> Running_;
--- a/UnitTests/Process/Scheduling/SchedulerAdmissionTest.cpp
+++ b/UnitTests/Process/Scheduling/SchedulerAdmissionTest.cpp
@@ -43,7 +43,7 @@
 struct Served {
   int Asked_ = 0;
   int InTime_ = 0;
-  int Late_ = 0;
+  int ObjectiveMissed_ = 0;
   int Refused_ = 0;
   milliseconds LongestWait_{0}; ///< Of the refused requests.
 };
@@ -89,9 +89,9 @@
       submitOnce(Each, Number > 0);
   }
   void submitOnce(const Kind &Each, bool AskedBefore) {
-    AskedRequest Request;
+    GrantRequest Request;
     Request.Id_ = {1, ++Sequence_};
-    Request.AskedBefore_ = AskedBefore;
+    Request.IsRetry_ = AskedBefore;
     Request.Tier_ = TierIndex(Each.Tier_);
     Request.Customer_ = CustomerName("c");
     Request.Deadline_ = Now_ + milliseconds(15000);
@@ -99,7 +99,7 @@
     Request.MaxWait_ = Each.MaxWait_;
     Sent_[Request.Id_] = {Each, Now_};
     ++Served_[Each.Tier_].Asked_;
-    apply(Scheduler_.ask(std::move(Request), Now_));
+    apply(Scheduler_.requestGrant(std::move(Request), Now_));
   }
   /// Sends the retries that are due, which have missed their objective by now.
   void sendRetries() {
@@ -107,16 +107,16 @@
       Sent Retry = Retries_.begin()->second;
       Retries_.erase(Retries_.begin());
       Retry.Retried_ = true;
-      AskedRequest Request;
+      GrantRequest Request;
       Request.Id_ = {1, ++Sequence_};
-      Request.AskedBefore_ = true;
+      Request.IsRetry_ = true;
       Request.Tier_ = TierIndex(Retry.Kind_.Tier_);
       Request.Customer_ = CustomerName("c");
       Request.Deadline_ = Retry.FirstAttempt_ + Retry.Kind_.Patience_;
       Request.Objective_ = Now_;
       Request.MaxWait_ = milliseconds(1800);
       Sent_[Request.Id_] = Retry;
-      apply(Scheduler_.ask(std::move(Request), Now_));
+      apply(Scheduler_.requestGrant(std::move(Request), Now_));
     }
   }
 
@@ -132,7 +132,7 @@
     const Sent &Request = Sent_.at(Id);
     Served &Count = Served_[Request.Kind_.Tier_];
     bool InTime = Now_ - Request.FirstAttempt_ <= Request.Kind_.Objective_;
-    ++(InTime ? Count.InTime_ : Count.Late_);
+    ++(InTime ? Count.InTime_ : Count.ObjectiveMissed_);
     Ends_.emplace(Now_ + Request.Kind_.Service_, Id);
   }
   void refused(const RefuseDecision &Refusal) {
@@ -193,8 +193,8 @@
   const Served &LowTierCount = Load.served(1);
   // 60 slots, less the 12.5 that high-tier requests occupy, serve 34 of the 50
   // requests a second.
-  CHECK(LowTierCount.InTime_ + LowTierCount.Late_ > 300);
-  CHECK(LowTierCount.InTime_ > 2 * LowTierCount.Late_);
+  CHECK(LowTierCount.InTime_ + LowTierCount.ObjectiveMissed_ > 300);
+  CHECK(LowTierCount.InTime_ > 2 * LowTierCount.ObjectiveMissed_);
 }
 
 TEST_CASE("a tier that is starved by higher ones keeps its guaranteed share") {
@@ -204,11 +204,12 @@
   Load.run(milliseconds(10000), {Flood, LowTier});
   const Served &HighTierCount = Load.served(0);
   const Served &LowTierCount = Load.served(1);
-  double All = HighTierCount.InTime_ + HighTierCount.Late_ +
-               LowTierCount.InTime_ + LowTierCount.Late_;
+  double All = HighTierCount.InTime_ + HighTierCount.ObjectiveMissed_ +
+               LowTierCount.InTime_ + LowTierCount.ObjectiveMissed_;
   double FractionOfAll = All / (HighTierCount.Asked_ + LowTierCount.Asked_);
   double FractionOfLowTier =
-      static_cast<double>(LowTierCount.InTime_ + LowTierCount.Late_) /
+      static_cast<double>(LowTierCount.InTime_ +
+                          LowTierCount.ObjectiveMissed_) /
       LowTierCount.Asked_;
   // The options guarantee half of the rate at which all requests are served.
   CHECK(FractionOfLowTier > 0.48 * FractionOfAll);
@@ -224,7 +225,8 @@
   Replay Load(Options, 10, 6);
   Load.run(milliseconds(10000), {Flood, LowTier});
   const Served &LowTierCount = Load.served(1);
-  CHECK(LowTierCount.InTime_ + LowTierCount.Late_ < LowTierCount.Asked_ / 5);
+  CHECK(LowTierCount.InTime_ + LowTierCount.ObjectiveMissed_ <
+        LowTierCount.Asked_ / 5);
 }
 
 TEST_CASE("no request waits longer than its maximum wait") {
@@ -252,8 +254,8 @@
   Load.run(milliseconds(10000), {Flood, Retrying});
   const Served &Normal = LowLoad.served(1);
   const Served &Repeated = Load.served(1);
-  CHECK(Repeated.InTime_ + Repeated.Late_ <
-        (Normal.InTime_ + Normal.Late_) * 5 / 4);
+  CHECK(Repeated.InTime_ + Repeated.ObjectiveMissed_ <
+        (Normal.InTime_ + Normal.ObjectiveMissed_) * 5 / 4);
 }
 
 TEST_CASE("a short burst of the highest tier is not delayed by the guaranteed "
@@ -269,7 +271,7 @@
   Load.resetCounts();
   Load.run(milliseconds(3000), {Burst, LowTier});
   // 60 slots of 600 ms serve 100 requests a second.
-  CHECK(Load.served(0).InTime_ + Load.served(0).Late_ > 240);
+  CHECK(Load.served(0).InTime_ + Load.served(0).ObjectiveMissed_ > 240);
 }
 
 TEST_CASE(
@@ -284,13 +286,13 @@
   Target.configure({{ServerName("engine"), 1, true}}, {}, 2, 100);
   auto Submit = [&](std::uint64_t Number, const char *Customer,
                     TimePoint Objective) {
-    AskedRequest Request;
+    GrantRequest Request;
     Request.Id_ = {1, Number};
     Request.Customer_ = CustomerName(Customer);
     Request.Deadline_ = Start + milliseconds(5000);
     Request.Objective_ = Objective;
     Request.MaxWait_ = milliseconds(2000);
-    Target.ask(Request, Start);
+    Target.requestGrant(Request, Start);
   };
   Submit(1, "a", Start);
   Submit(2, "b", Start + milliseconds(500));
@@ -327,18 +329,18 @@
   // the crash and used up its attempts.
   Scheduler Target(byObjective());
   Target.configure({{ServerName("crashed"), 4, true}}, {}, 2, 100);
-  AskedRequest Request;
+  GrantRequest Request;
   Request.Id_ = {1, 1};
   Request.Customer_ = CustomerName("c");
   Request.Deadline_ = Start + milliseconds(1000);
-  Target.ask(Request, Start);
+  Target.requestGrant(Request, Start);
   REQUIRE(Target.decide(Start).size() == 1);
   ServedSample Seen;
   Seen.Reached_ = true;
   Seen.Replaced_ = true;
   Target.done(Request.Id_, Seen, Start);
   Request.Id_ = {1, 2};
-  auto Decisions = Target.ask(Request, Start);
+  auto Decisions = Target.requestGrant(Request, Start);
   REQUIRE(Decisions.size() == 1);
   CHECK(std::get<RefuseDecision>(Decisions.front()).Code_ ==
         ResultCode::NoBackendServer);
@@ -352,11 +354,11 @@
   int ToBad = 0;
   for (std::uint64_t Number = 1; Number <= 200; ++Number) {
     auto Now = Start + milliseconds(10 * Number);
-    AskedRequest Request;
+    GrantRequest Request;
     Request.Id_ = {1, Number};
     Request.Customer_ = CustomerName("c");
     Request.Deadline_ = Now + milliseconds(1000);
-    Target.ask(Request, Now);
+    Target.requestGrant(Request, Now);
     auto Decisions = Target.decide(Now);
     REQUIRE(Decisions.size() == 1);
     const auto &Grant = std::get<GrantDecision>(Decisions.front());
--- a/UnitTests/Process/Scheduling/SchedulerPlacementTest.cpp
+++ b/UnitTests/Process/Scheduling/SchedulerPlacementTest.cpp
@@ -54,7 +54,7 @@
 struct Served {
   int Asked_ = 0;
   int InTime_ = 0;
-  int Late_ = 0;
+  int ObjectiveMissed_ = 0;
   int Refused_ = 0;
   int LongAsked_ = 0; ///< Requests with answers of at least LongTokens.
   int LongServed_ = 0;
@@ -119,7 +119,7 @@
   double uniform() { return Random_() / 4294967296.0; }
 
   void submit(const Kind &Each) {
-    AskedRequest Request;
+    GrantRequest Request;
     Request.Id_ = {1, ++Sequence_};
     Request.Tier_ = TierIndex(Each.Tier_);
     Request.Customer_ = CustomerName("c");
@@ -135,12 +135,12 @@
                   1;
     Tokens Length(std::min(Events * TokensPerEvent, MaxTokens));
     // Callers' estimates are right in the median.
-    Request.Guessed_ =
+    Request.EstimatedAnswer_ =
         Tokens(sampleLogNormal(static_cast<double>(Length.count()), 0.5));
     Sent_[Request.Id_] = {Each, Now_, Request.Prompt_, Length};
     ++Served_[Each.Tier_].Asked_;
     Served_[Each.Tier_].LongAsked_ += Length.count() >= LongTokens ? 1 : 0;
-    apply(Scheduler_.ask(std::move(Request), Now_));
+    apply(Scheduler_.requestGrant(std::move(Request), Now_));
   }
   std::int64_t sampleLogNormal(double Median, double Spread) {
     double Normal = std::sqrt(-2 * std::log(uniform() + 1e-9)) *
@@ -174,7 +174,7 @@
     Sample.Reached_ = true;
     Sample.Complete_ = true;
     Sample.Generated_ = Sent.Tokens_;
-    Sample.AtOnce_ = Tokens(TokensPerEvent);
+    Sample.FirstEventTokens_ = Tokens(TokensPerEvent);
     Sample.FirstToken_ =
         duration_cast<microseconds>(Seen.FirstToken_ - Seen.Sent_);
     Sample.Duration_ = duration_cast<microseconds>(Now_ - Seen.Sent_);
@@ -184,7 +184,7 @@
     bool InTime =
         !Paused && Seen.FirstToken_ <= Sent.At_ + Sent.Kind_.Objective_;
     Served &Count = Served_[Sent.Kind_.Tier_];
-    ++(InTime ? Count.InTime_ : Count.Late_);
+    ++(InTime ? Count.InTime_ : Count.ObjectiveMissed_);
     Count.LongServed_ += Sent.Tokens_.count() >= LongTokens ? 1 : 0;
   }
 
@@ -248,7 +248,7 @@
     Load.resetCounts();
     Load.run(milliseconds(20000), Kinds);
     for (std::uint32_t Tier = 0; Tier < 3; ++Tier)
-      ObjectiveMissed += Load.served(Tier).Late_;
+      ObjectiveMissed += Load.served(Tier).ObjectiveMissed_;
     HighTierInTime += Load.served(0).InTime_;
     LowTierInTime += Load.served(2).InTime_;
   }
@@ -266,13 +266,13 @@
   Scheduler Target(byObjective());
   Target.configure({{ServerName("engine"), Slots, true}}, {}, 3, 100);
   for (std::uint64_t Number = 1; Number <= 5; ++Number) {
-    AskedRequest Request;
+    GrantRequest Request;
     Request.Id_ = {1, Number};
     Request.Customer_ = CustomerName("c");
     Request.Deadline_ = Start + milliseconds(6000);
     Request.Objective_ = Start + milliseconds(800);
     Request.Prompt_ = Tokens(10000);
-    Target.ask(Request, Start);
+    Target.requestGrant(Request, Start);
   }
   // An engine of unknown speed is assumed to read 100 tokens in a millisecond.
   CHECK(Target.decide(Start).size() == 2);
@@ -294,7 +294,7 @@
     int Sum = 0;
     for (std::uint64_t Seed = 1; Seed <= 5; ++Seed) {
       auto Options = byObjective();
-      Options.KeepPauses_ = KeepPauses;
+      Options.LimitPauses_ = KeepPauses;
       Replay Load(Options, 4, 8, Seed);
       Load.run(milliseconds(5000), Kinds);
       Load.resetCounts();
@@ -330,14 +330,14 @@
   Target.configure(std::move(Servers), {}, 3, 100000);
   std::uint64_t Number = 0;
   auto Submit = [&](int Customer, std::int64_t Prompt) {
-    AskedRequest Request;
+    GrantRequest Request;
     Request.Id_ = {1, ++Number};
     Request.Customer_ = CustomerName(fmt::format("c{}", Customer));
     Request.Deadline_ = Start + std::chrono::hours(1);
     Request.Objective_ = Start + std::chrono::minutes(1);
     Request.MaxPause_ = milliseconds(250);
     Request.Prompt_ = Tokens(Prompt);
-    Target.ask(Request, Start);
+    Target.requestGrant(Request, Start);
   };
   for (int Engine = 0; Engine < Engines; ++Engine)
     Submit(0, 11000);
@@ -345,10 +345,10 @@
   for (int Count = 0; Count < 100 * Customers; ++Count)
     Submit(Count % Customers, 20000 + 10 * Count);
   REQUIRE(Target.decide(Start).empty());
-  auto ChecksBefore = Target.engineLooks();
+  auto ChecksBefore = Target.engineChecks();
   for (int Round = 0; Round < Rounds; ++Round)
     CHECK(Target.decide(Start).empty());
-  auto Each = (Target.engineLooks() - ChecksBefore) / Rounds;
+  auto Each = (Target.engineChecks() - ChecksBefore) / Rounds;
   // Without the cached result, 8 requests of each customer in two passes would
   // need 12,288 checks.
   CHECK(Each <= 2 * Engines);
@@ -374,7 +374,7 @@
     Load.run(milliseconds(20000), {Flood});
     const Served &Count = Load.served(0);
     Asked += Count.Asked_;
-    Answered += Count.InTime_ + Count.Late_;
+    Answered += Count.InTime_ + Count.ObjectiveMissed_;
     LongAsked += Count.LongAsked_;
     LongAnswered += Count.LongServed_;
   }
--- a/UnitTests/Process/Scheduling/SchedulerTest.cpp
+++ b/UnitTests/Process/Scheduling/SchedulerTest.cpp
@@ -37,22 +37,22 @@
   return List;
 }
 
-std::map<CustomerName, CustomerShare> customers() {
+std::map<CustomerName, CustomerPolicy> customers() {
   return {{CustomerName("a"), {1, 0}},
           {CustomerName("b"), {3, 0}},
           {CustomerName("c"), {1, 2}}};
 }
 
-AskedRequest request(std::uint64_t Number, std::uint32_t Tier,
+GrantRequest request(std::uint64_t Number, std::uint32_t Tier,
                      TimePoint Deadline) {
-  AskedRequest Request;
+  GrantRequest Request;
   Request.Id_ = {1, Number};
   Request.Tier_ = TierIndex(Tier);
   Request.Customer_ = CustomerName("a");
   Request.Deadline_ = Deadline;
   Request.Prompt_ = Tokens(10);
   Request.Answer_ = Tokens(10);
-  Request.Entry_ = VmId("vm");
+  Request.Ingress_ = VmId("vm");
   return Request;
 }
 
@@ -107,20 +107,20 @@
       };
       int Kind = *rc::gen::inRange(0, 10);
       if (Kind < 5 || Ids.empty()) {
-        AskedRequest Request =
+        GrantRequest Request =
             request(Next++, *rc::gen::inRange<std::uint32_t>(0, TierCount),
                     Now + milliseconds(*rc::gen::inRange(-5, 2000)));
         Request.Customer_ =
             CustomerName(std::string(1, *rc::gen::element('a', 'b', 'c')));
         Request.Prompt_ = Tokens(*rc::gen::inRange(0, 1000));
         Request.NonIdempotent_ = *rc::gen::inRange(0, 4) == 0;
-        Request.Entry_ = VmId(*rc::gen::element<std::string>("x", "y"));
+        Request.Ingress_ = VmId(*rc::gen::element<std::string>("x", "y"));
         if (*rc::gen::inRange(0, 5) == 0)
           Request.Excluded_.emplace_back("engine-0");
         TierOf[Request.Id_] = Request.Tier_;
         Ids.push_back(Request.Id_);
-        FromReal = Real.ask(Request, Now);
-        FromNaive = Naive.ask(Request, Now);
+        FromReal = Real.requestGrant(Request, Now);
+        FromNaive = Naive.requestGrant(Request, Now);
       } else if (Kind < 7) {
         RequestId Id = Pick();
         Real.done(Id, ServedSample(), Now);
@@ -133,10 +133,11 @@
         Now += milliseconds(*rc::gen::inRange(0, 500));
       } else if (*rc::gen::inRange(0, 5) == 0) {
         std::vector<RequestId> Orphans;
-        for (const RunningRequest &One : Real.removeEntry(VmId("x")).Running_)
+        for (const RunningRequest &One :
+             Real.removeIngressRequests(VmId("x")).Running_)
           Orphans.push_back(One.Id_);
         std::ranges::sort(Orphans);
-        auto Expected = Naive.removeEntry(VmId("x"));
+        auto Expected = Naive.removeIngressRequests(VmId("x"));
         std::ranges::sort(Expected);
         RC_ASSERT(Orphans == Expected);
       }
@@ -159,7 +160,7 @@
     std::uint64_t Next = 1;
     for (std::uint8_t Operation : Operations) {
       if (Operation % 3 != 0)
-        Real.ask(
+        Real.requestGrant(
             request(Next++, Operation % TierCount, Now + milliseconds(900)),
             Now);
       else
@@ -177,10 +178,10 @@
   TimePoint Now{std::chrono::seconds(1000)};
   std::map<RequestId, std::string> CustomerOf;
   for (std::uint64_t Number = 1; Number <= 400; ++Number) {
-    AskedRequest Request = request(Number, 0, Now + std::chrono::hours(1));
+    GrantRequest Request = request(Number, 0, Now + std::chrono::hours(1));
     Request.Customer_ = CustomerName(Number % 2 ? "a" : "b");
     CustomerOf[Request.Id_] = Request.Customer_.str();
-    Real.ask(Request, Now);
+    Real.requestGrant(Request, Now);
   }
   std::map<std::string, int> Granted;
   for (int Round = 0; Round < 200; ++Round)
@@ -200,8 +201,8 @@
   // after the death of a keeper, an engine would get twice its limit.
   Scheduler Real = configured({.TierCount_ = TierCount}, 1, 1);
   TimePoint Now{std::chrono::seconds(1000)};
-  Real.setWarmUntil(Now + milliseconds(300));
-  Real.ask(request(1, 0, Now + milliseconds(900)), Now);
+  Real.setWarmupEnd(Now + milliseconds(300));
+  Real.requestGrant(request(1, 0, Now + milliseconds(900)), Now);
   CHECK(Real.decide(Now).empty());
   RunningRequest Running;
   Running.Id_ = {1, 7};
@@ -220,7 +221,7 @@
   Real.setShare(0.5);
   TimePoint Now{std::chrono::seconds(1000)};
   for (std::uint64_t Number = 1; Number <= 8; ++Number)
-    Real.ask(request(Number, 0, Now + milliseconds(900)), Now);
+    Real.requestGrant(request(Number, 0, Now + milliseconds(900)), Now);
   CHECK(Real.decide(Now).size() == 4);
 }
 
@@ -234,7 +235,7 @@
   std::set<milliseconds> Times;
   for (std::uint64_t Number = 1; Number <= 100; ++Number)
     for (const Decision &Each :
-         Real.ask(request(Number, 0, Now + milliseconds(900)), Now))
+         Real.requestGrant(request(Number, 0, Now + milliseconds(900)), Now))
       if (const auto *Refusal = std::get_if<RefuseDecision>(&Each))
         Times.insert(Refusal->RetryAfter_);
   CHECK(Times.size() > 50);
@@ -259,11 +260,11 @@
   };
   StartedAt(1000);
   for (std::uint64_t Number = 1; Number <= 2; ++Number)
-    Real.ask(request(Number, 0, Now + milliseconds(900)), Now);
+    Real.requestGrant(request(Number, 0, Now + milliseconds(900)), Now);
   REQUIRE(Real.decide(Now).size() == 2);
   StartedAt(2000);
   for (std::uint64_t Number = 3; Number <= 5; ++Number)
-    Real.ask(request(Number, 0, Now + milliseconds(900)), Now);
+    Real.requestGrant(request(Number, 0, Now + milliseconds(900)), Now);
   CHECK(Real.decide(Now).size() == 2);
   ServedSample Broken;
   Broken.Reached_ = Broken.Faulty_ = true;
@@ -284,6 +285,6 @@
   Real.server(ServerName("engine-0"))->markReplaced();
   List.front().Incarnation_ = Incarnation(2000);
   Real.configure(List, customers(), TierCount, 1000);
-  Real.ask(request(1, 0, Now + milliseconds(900)), Now);
+  Real.requestGrant(request(1, 0, Now + milliseconds(900)), Now);
   CHECK(Real.decide(Now).size() == 1);
 }
--- a/UnitTests/Process/Scheduling/SchedulerTiersTest.cpp
+++ b/UnitTests/Process/Scheduling/SchedulerTiersTest.cpp
@@ -23,15 +23,15 @@
   void configure(std::uint32_t Tiers) {
     Scheduler_.configure({{Engine, 1, true}}, {}, Tiers, 1000);
   }
-  std::vector<Decision> ask(std::uint64_t Number, std::uint32_t Tier) {
-    AskedRequest Request;
+  std::vector<Decision> requestGrant(std::uint64_t Number, std::uint32_t Tier) {
+    GrantRequest Request;
     Request.Id_ = {1, Number};
     Request.Tier_ = TierIndex(Tier);
     Request.Deadline_ = Start + std::chrono::seconds(10);
     Request.Objective_ = Start + std::chrono::seconds(5);
     Request.MaxWait_ = std::chrono::seconds(5);
-    Request.Entry_ = VmId("vm");
-    return Scheduler_.ask(std::move(Request), Start);
+    Request.Ingress_ = VmId("vm");
+    return Scheduler_.requestGrant(std::move(Request), Start);
   }
 
   Scheduler Scheduler_;
@@ -61,9 +61,9 @@
   // exception that ends the daemon or its watch of changes, or the keeper
   // refuses all requests of the tier from then on because of the huge count.
   TieredKeeper Keeper(2);
-  REQUIRE(Keeper.ask(1, 0).empty());
+  REQUIRE(Keeper.requestGrant(1, 0).empty());
   REQUIRE(Keeper.Scheduler_.decide(Start).size() == 1);
-  REQUIRE(Keeper.ask(2, 2).empty());
+  REQUIRE(Keeper.requestGrant(2, 2).empty());
   REQUIRE(Keeper.Scheduler_.decide(Start).empty());
   Keeper.configure(3);
   Keeper.Scheduler_.withdraw({1, 2});
@@ -77,9 +77,9 @@
   // The same sequence, but the request is granted: its entry in the old queue
   // must not remain.
   TieredKeeper Keeper(2);
-  REQUIRE(Keeper.ask(1, 0).empty());
+  REQUIRE(Keeper.requestGrant(1, 0).empty());
   REQUIRE(Keeper.Scheduler_.decide(Start).size() == 1);
-  REQUIRE(Keeper.ask(2, 2).empty());
+  REQUIRE(Keeper.requestGrant(2, 2).empty());
   Keeper.configure(3);
   Keeper.Scheduler_.done({1, 1}, ServedSample(), Start);
   std::vector<Decision> Granted;
--- a/UnitTests/Programs/RequestStoryTest.cpp
+++ b/UnitTests/Programs/RequestTimelineTest.cpp
@@ -1,4 +1,4 @@
-#include "Programs/RequestStory.h"
+#include "Programs/RequestTimeline.h"
 
 #include <doctest/doctest.h>
 
@@ -18,9 +18,9 @@
 {"time":"2026-06-17T08:29:05.205+00:00","level":"info","vm":"vm-1","category":"request","event":"ended","request":"r-2","call":"c-2","code":"0"}
 )";
 
-RequestStory timelineOf(const std::string &Id) {
+RequestTimeline timelineOf(const std::string &Id) {
   std::istringstream Stream(Logs);
-  return readStory(Stream, Id, 10);
+  return readTimeline(Stream, Id, 10);
 }
 
 } // namespace
--- a/UnitTests/Request/ForwardedCallTest.cpp
+++ b/UnitTests/Request/ForwardedCallTest.cpp
@@ -15,7 +15,7 @@
 
 /// Answers every request completely and with its own id.
 Script answerAll(const std::string &Request, std::size_t) {
-  return {wholeAnswer(fieldIn(Request, "x-call-id"), "answer")};
+  return {completeAnswer(fieldIn(Request, "x-call-id"), "answer")};
 }
 
 ScriptOf always(Script Fixed) {
@@ -47,12 +47,12 @@
 TEST_CASE("request and answer are forwarded unchanged, except for hop-by-hop "
           "fields and the key") {
   ForwardingHarness Path(kind(RequestKind::NonIdempotent), {answerAll});
-  auto Saw = Path.call("c1", "the body",
-                       "X-Other: kept\r\nConnection: keep-alive, X-Hop\r\n"
-                       "X-Hop: 1\r\nX-Customer: forged\r\n");
-  CHECK(Saw.status() == 200);
-  CHECK(Saw.body() == "answer");
-  CHECK(fieldIn(Saw.Bytes_, "x-answer-proof") == "p");
+  auto Reply = Path.call("c1", "the body",
+                         "X-Other: kept\r\nConnection: keep-alive, X-Hop\r\n"
+                         "X-Hop: 1\r\nX-Customer: forged\r\n");
+  CHECK(Reply.status() == 200);
+  CHECK(Reply.body() == "answer");
+  CHECK(fieldIn(Reply.Bytes_, "x-answer-proof") == "p");
   const std::string &Sent = Path.server(0).requests().at(0);
   CHECK(Sent.starts_with("POST /p HTTP/1.1\r\n"));
   CHECK(Sent.ends_with("\r\n\r\nthe body"));
@@ -68,7 +68,8 @@
   // Guards against a caller that gets the answer to another request: a server
   // sends two answers to one request, the connection is reused although it has
   // unread bytes, and the next request reads the extra answer.
-  std::string TwoAnswers = wholeAnswer("c1", "one") + wholeAnswer("c1", "one");
+  std::string TwoAnswers =
+      completeAnswer("c1", "one") + completeAnswer("c1", "one");
   ForwardingHarness Path(kind(RequestKind::Idempotent),
                          {[&](const std::string &Request, std::size_t Number) {
                            return Number == 0 ? Script{TwoAnswers}
@@ -82,7 +83,7 @@
 TEST_CASE("an answer with another request's id is a failure, and a "
           "non-idempotent request is not retried") {
   ForwardingHarness Path(kind(RequestKind::NonIdempotent),
-                         {always({wholeAnswer("other", "x")})});
+                         {always({completeAnswer("other", "x")})});
   CHECK(Path.call("c1").status() == 502);
   CHECK(Path.received() == 1);
 }
@@ -99,7 +100,7 @@
   // Guards against a caller that takes the start of an answer for the complete
   // answer: a server closes before the end of the body, and the end of the
   // connection is taken for the end of the body.
-  Script Truncated{wholeAnswer("c1", "long enough"), Script::Then::Close};
+  Script Truncated{completeAnswer("c1", "long enough"), Script::Then::Close};
   Truncated.Bytes_.resize(Truncated.Bytes_.size() - 3);
   SUBCASE("a request that may run twice is retried at another server") {
     auto Count = std::make_shared<int>(0);
@@ -124,9 +125,9 @@
   SUBCASE("closed") {
     ForwardingHarness Path(kind(RequestKind::NonIdempotent),
                            {always({Unframed, Script::Then::Close})});
-    auto Saw = Path.call("c1");
-    CHECK(Saw.status() == 200);
-    CHECK(Saw.body() == "the whole");
+    auto Reply = Path.call("c1");
+    CHECK(Reply.status() == 200);
+    CHECK(Reply.body() == "the whole");
   }
   SUBCASE("reset") {
     ForwardingHarness Path(kind(RequestKind::NonIdempotent),
@@ -148,7 +149,7 @@
       {[&](const std::string &Request, std::size_t Number) {
         if (Number > 0)
           return answerAll(Request, Number);
-        Script Before{wholeAnswer("c1", "no", 413), Script::Then::Hold};
+        Script Before{completeAnswer("c1", "no", 413), Script::Then::Hold};
         Before.AnswerAfterBytes_ = Early;
         return Before;
       }});
@@ -176,29 +177,29 @@
     return Script{refusal(fieldIn(Request, "x-call-id"))};
   };
   ForwardingHarness Path(kind(RequestKind::NonIdempotent), {Refuse});
-  auto Saw = Path.call("c1");
-  CHECK(Saw.status() == 503);
-  CHECK_FALSE(fieldIn(Saw.Bytes_, "retry-after").empty());
-  CHECK(fieldIn(Saw.Bytes_, "x-call-id") == "c1");
+  auto Reply = Path.call("c1");
+  CHECK(Reply.status() == 503);
+  CHECK_FALSE(fieldIn(Reply.Bytes_, "retry-after").empty());
+  CHECK(fieldIn(Reply.Bytes_, "x-call-id") == "c1");
 }
 
 TEST_CASE("a server's failure is retried where allowed, and the last one is "
           "forwarded with its proof") {
   auto Fail = [](const std::string &Request, std::size_t) {
-    return Script{wholeAnswer(fieldIn(Request, "x-call-id"), "failed", 500)};
+    return Script{completeAnswer(fieldIn(Request, "x-call-id"), "failed", 500)};
   };
   SUBCASE("retried") {
     auto Count = std::make_shared<int>(0);
-    Script First{wholeAnswer("c1", "failed", 500)};
+    Script First{completeAnswer("c1", "failed", 500)};
     auto Each = firstThen(Count, First, answerAll);
     ForwardingHarness Path(kind(RequestKind::Idempotent), {Each, Each});
     CHECK(Path.call("c1").status() == 200);
   }
   SUBCASE("both fail") {
     ForwardingHarness Path(kind(RequestKind::Idempotent), {Fail, Fail});
-    auto Saw = Path.call("c1");
-    CHECK(Saw.status() == 500);
-    CHECK(fieldIn(Saw.Bytes_, "x-answer-proof") == "p");
+    auto Reply = Path.call("c1");
+    CHECK(Reply.status() == 500);
+    CHECK(fieldIn(Reply.Bytes_, "x-answer-proof") == "p");
     CHECK(Path.received() == 2);
   }
   SUBCASE("must not be retried") {
@@ -214,10 +215,10 @@
   // it started to run the request; forwarded to the caller, this status would
   // promise that the request was not run.
   ForwardingHarness Path(kind(RequestKind::NonIdempotent),
-                         {always({wholeAnswer("c1", "overloaded", 503)})});
-  auto Saw = Path.call("c1");
-  CHECK(Saw.status() == 502);
-  CHECK(fieldIn(Saw.Bytes_, "x-answer-proof").empty());
+                         {always({completeAnswer("c1", "overloaded", 503)})});
+  auto Reply = Path.call("c1");
+  CHECK(Reply.status() == 502);
+  CHECK(fieldIn(Reply.Bytes_, "x-answer-proof").empty());
 }
 
 TEST_CASE("a non-idempotent request is not retried after its connection was "
@@ -233,10 +234,10 @@
   std::string Whole =
       streamHead("c1") + eventChunk(1, "a") + eventChunk(2, "b") + LastChunk;
   ForwardingHarness Path(stream(false), {always({Whole})});
-  auto Saw = Path.call("c1");
-  CHECK(Saw.status() == 200);
-  CHECK(Saw.hasLastChunk());
-  CHECK(Saw.Bytes_.find("data: a") < Saw.Bytes_.find("data: b"));
+  auto Reply = Path.call("c1");
+  CHECK(Reply.status() == 200);
+  CHECK(Reply.hasLastChunk());
+  CHECK(Reply.Bytes_.find("data: a") < Reply.Bytes_.find("data: b"));
 }
 
 TEST_CASE("a resumable stream that breaks within an event continues after its "
@@ -255,21 +256,21 @@
                       LastChunk};
       });
   ForwardingHarness Path(stream(true), {Each, Each});
-  auto Saw = Path.call("c1");
-  CHECK(Saw.hasLastChunk());
-  CHECK(Saw.Bytes_.find("data: a") != std::string::npos);
-  CHECK(Saw.Bytes_.find("data: b") != std::string::npos);
-  CHECK(Saw.Bytes_.find("again") == std::string::npos);
-  CHECK(Saw.Bytes_.find("id: 2\nda\r\n") == std::string::npos);
+  auto Reply = Path.call("c1");
+  CHECK(Reply.hasLastChunk());
+  CHECK(Reply.Bytes_.find("data: a") != std::string::npos);
+  CHECK(Reply.Bytes_.find("data: b") != std::string::npos);
+  CHECK(Reply.Bytes_.find("again") == std::string::npos);
+  CHECK(Reply.Bytes_.find("id: 2\nda\r\n") == std::string::npos);
   CHECK(Path.received() == 2);
 }
 
 TEST_CASE("a stream that can't be continued ends without its last chunk") {
   Script Broken{streamHead("c1") + eventChunk(1, "a"), Script::Then::Close};
   ForwardingHarness Path(stream(false), {always(Broken), always(Broken)});
-  auto Saw = Path.call("c1");
-  CHECK(Saw.Ended_);
-  CHECK_FALSE(Saw.hasLastChunk());
+  auto Reply = Path.call("c1");
+  CHECK(Reply.Ended_);
+  CHECK_FALSE(Reply.hasLastChunk());
   CHECK(Path.received() == 1);
 }
 
@@ -286,10 +287,10 @@
   // unnoticed if only the server's connection is watched.
   Script Endless{streamHead("c1") + eventChunk(1, "a"), Script::Then::Hold};
   ForwardingHarness Path(stream(false), {always(Endless)});
-  auto Saw = Path.begin("c1");
+  auto Reply = Path.begin("c1");
   REQUIRE(Path.runUntil(
-      [&] { return Saw->Bytes_.find("data: a") != std::string::npos; }));
-  ForwardingHarness::leave(*Saw);
+      [&] { return Reply->Bytes_.find("data: a") != std::string::npos; }));
+  ForwardingHarness::disconnect(*Reply);
   CHECK(Path.runUntil([&] { return Path.server(0).closed() == 1; }));
 }
 
@@ -302,7 +303,7 @@
   REQUIRE(Path.runUntil([&] { return Path.received() == 1; }));
   auto Second = Path.begin("c2");
   REQUIRE(Path.runUntil([&] { return Path.waiting() == 1; }));
-  ForwardingHarness::leave(*Second);
+  ForwardingHarness::disconnect(*Second);
   CHECK(Path.runUntil([&] { return Path.waiting() == 0; }));
   CHECK(Path.received() == 1);
 }
@@ -319,11 +320,11 @@
   BareListener Server;
   ForwardingHarness Path(kind(RequestKind::Idempotent), {});
   Path.publishAt(Server.address());
-  auto Saw = Path.begin("c1");
+  auto Reply = Path.begin("c1");
   // The connection is established, but the request's coroutine hasn't been
   // resumed yet.
   REQUIRE(Path.runUntil([&] { return Server.connected(); }));
-  ForwardingHarness::leave(*Saw);
+  ForwardingHarness::disconnect(*Reply);
   CHECK(Path.runUntil([&] { return Server.closed(); }));
   CHECK(Server.received() == "");
 }
@@ -335,14 +336,14 @@
   // free.
   auto Wanted = kind(RequestKind::Idempotent);
   Wanted.MaxInFlight_ = 1;
-  Wanted.Keyed_ = true;
+  Wanted.RequiresKey_ = true;
   ForwardingHarness Path(Wanted, {always({"", Script::Then::Hold})});
   auto First = Path.begin("c1");
   REQUIRE(Path.runUntil([&] { return Path.received() == 1; }));
   auto Second = Path.begin("c2");
   REQUIRE(Path.runUntil([&] { return Path.waiting() == 1; }));
   Path.adopt({"another key"});
-  ForwardingHarness::leave(*First);
+  ForwardingHarness::disconnect(*First);
   CHECK(Path.runUntil([&] { return Second->Ended_; }));
   CHECK(Second->status() == 401);
   CHECK(Path.received() == 1);
@@ -351,15 +352,15 @@
 TEST_CASE("with a configuration that may be out of date, keys are neither "
           "accepted nor rejected") {
   auto Wanted = kind(RequestKind::NonIdempotent);
-  Wanted.Keyed_ = true;
+  Wanted.RequiresKey_ = true;
   Wanted.Lease_ = std::chrono::milliseconds(1);
   ForwardingHarness Path(Wanted, {answerAll});
   auto Start = BootClock::now();
   REQUIRE(Path.runUntil(
       [&] { return BootClock::now() > Start + std::chrono::milliseconds(5); }));
-  auto Saw = Path.call("c1");
-  CHECK(Saw.status() == 503);
-  CHECK(fieldIn(Saw.Bytes_, "x-result-code") == "213");
+  auto Reply = Path.call("c1");
+  CHECK(Reply.status() == 503);
+  CHECK(fieldIn(Reply.Bytes_, "x-result-code") == "213");
   CHECK(Path.received() == 0);
 }
 
@@ -393,8 +394,8 @@
     Wanted.Timeout_ = std::chrono::milliseconds(300);
     ForwardingHarness Path(Wanted, {Hanging, Hanging});
     auto Begin = steady_clock::now();
-    auto Saw = Path.call("c1", "x", "X-Request-Timeout-Ms: 60000\r\n");
-    CHECK(Saw.status() == 504);
+    auto Reply = Path.call("c1", "x", "X-Request-Timeout-Ms: 60000\r\n");
+    CHECK(Reply.status() == 504);
     CHECK(steady_clock::now() - Begin < std::chrono::milliseconds(800));
     // The timeout sent to the server is at most the remaining time of the
     // route's timeout.
--- a/UnitTests/Request/ForwardingHarness.cpp
+++ b/UnitTests/Request/ForwardingHarness.cpp
@@ -157,7 +157,7 @@
   return Closed_;
 }
 
-int CallerSaw::status() const {
+int CallerReply::status() const {
   constexpr std::size_t StatusAt = 9;
   constexpr std::size_t StatusDigits = 3;
   if (Bytes_.size() < StatusAt + StatusDigits)
@@ -165,12 +165,12 @@
   return std::stoi(Bytes_.substr(StatusAt, StatusDigits));
 }
 
-std::string CallerSaw::body() const {
+std::string CallerReply::body() const {
   std::size_t End = headEnd(Bytes_);
   return End == std::string::npos ? std::string() : Bytes_.substr(End);
 }
 
-bool CallerSaw::hasLastChunk() const { return Bytes_.ends_with(LastChunk); }
+bool CallerReply::hasLastChunk() const { return Bytes_.ends_with(LastChunk); }
 
 ForwardingHarness::ForwardingHarness(Options Wanted,
                                      std::vector<ScriptOf> Servers)
@@ -232,7 +232,7 @@
           nullptr,
           Dialect_,
           Lease_,
-          Repeats_,
+          RetryBudget_,
           [](const ForwardingRule &) { return true; },
           [] { return std::size_t{1}; }};
 }
@@ -278,7 +278,7 @@
   Rule.MaxAttempts_ = Options_.Attempts_;
   Rule.Timeout_ = Options_.Timeout_;
   Rule.Objective_ = milliseconds(500);
-  Rule.Anonymous_ = !Options_.Keyed_;
+  Rule.Anonymous_ = !Options_.RequiresKey_;
   Rule.Targets_ = {{ThePool, 1}};
   Only.Forwarding_ = std::move(Rule);
   Built.Routes_.push_back(std::make_shared<const Route>(std::move(Only)));
@@ -292,10 +292,11 @@
                    std::make_shared<const Document>(std::move(Built)));
 }
 
-Awaitable<void> ForwardingHarness::ask(std::string Bytes,
-                                       std::shared_ptr<CallerSaw> Saw) {
+Awaitable<void>
+ForwardingHarness::sendAndReceive(std::string Bytes,
+                                  std::shared_ptr<CallerReply> Reply) {
   auto Socket = std::make_shared<Tcp::socket>(Context_);
-  Saw->Connection_ = Socket;
+  Reply->Connection_ = Socket;
   boost::system::error_code Error;
   co_await Socket->async_connect(
       Front_->address(), asio::redirect_error(asio::use_awaitable, Error));
@@ -303,33 +304,33 @@
   co_await asio::async_write(*Socket, Buffer,
                              asio::redirect_error(asio::use_awaitable, Error));
   bool Open = !Error;
-  while (Open && !isComplete(Saw->Bytes_))
-    Open = co_await readMore(*Socket, Saw->Bytes_);
-  Saw->Ended_ = true;
+  while (Open && !isComplete(Reply->Bytes_))
+    Open = co_await readMore(*Socket, Reply->Bytes_);
+  Reply->Ended_ = true;
 }
 
-std::shared_ptr<CallerSaw>
+std::shared_ptr<CallerReply>
 ForwardingHarness::begin(const std::string &CallId, const std::string &Body,
                          const std::string &MoreFields) {
   std::string Bytes = fmt::format(
       "POST /p HTTP/1.1\r\nHost: h\r\nX-Call-Id: {}\r\nAuthorization: Bearer "
       "key\r\nContent-Length: {}\r\n{}\r\n{}",
       CallId, Body.size(), MoreFields, Body);
-  auto Saw = std::make_shared<CallerSaw>();
-  auto Ask = [this, Bytes, Saw]() { return ask(Bytes, Saw); };
+  auto Reply = std::make_shared<CallerReply>();
+  auto Ask = [this, Bytes, Reply]() { return sendAndReceive(Bytes, Reply); };
   asio::co_spawn(Context_, std::move(Ask), asio::detached);
-  return Saw;
+  return Reply;
 }
 
-CallerSaw ForwardingHarness::call(const std::string &CallId,
-                                  const std::string &Body,
-                                  const std::string &MoreFields) {
-  auto Saw = begin(CallId, Body, MoreFields);
-  runUntil([&] { return Saw->Ended_; });
-  return *Saw;
+CallerReply ForwardingHarness::call(const std::string &CallId,
+                                    const std::string &Body,
+                                    const std::string &MoreFields) {
+  auto Reply = begin(CallId, Body, MoreFields);
+  runUntil([&] { return Reply->Ended_; });
+  return *Reply;
 }
 
-void ForwardingHarness::leave(const CallerSaw &Call) {
+void ForwardingHarness::disconnect(const CallerReply &Call) {
   if (auto Socket = Call.Connection_.lock())
     Socket->close();
 }
@@ -349,8 +350,8 @@
   return Sum;
 }
 
-std::string wholeAnswer(const std::string &CallId, const std::string &Body,
-                        int Status) {
+std::string completeAnswer(const std::string &CallId, const std::string &Body,
+                           int Status) {
   return fmt::format("HTTP/1.1 {} Answer\r\nX-Call-Id: {}\r\nX-Answer-Proof: "
                      "p\r\nContent-Length: {}\r\n\r\n{}",
                      Status, CallId, Body.size(), Body);
--- a/UnitTests/Request/ForwardingHarness.h
+++ b/UnitTests/Request/ForwardingHarness.h
@@ -83,7 +83,7 @@
 
 /// What a caller received: all bytes until its answer was complete or the
 /// connection ended.
-struct CallerSaw {
+struct CallerReply {
   std::string Bytes_;
   bool Ended_ = false; ///< The connection ended or the answer is complete.
   std::weak_ptr<boost::asio::ip::tcp::socket> Connection_;
@@ -101,7 +101,7 @@
     bool Resumable_ = false;
     std::uint32_t Attempts_ = 2;
     std::uint32_t MaxInFlight_ = 4;
-    bool Keyed_ = false;
+    bool RequiresKey_ = false;
     /// The timeout of the route.
     std::chrono::milliseconds Timeout_{3000};
     BootClock::duration Lease_{0};
@@ -113,14 +113,14 @@
   ForwardingHarness(Options Wanted, std::vector<ScriptOf> Servers);
 
   /// Sends a request with this body and reads its answer.
-  CallerSaw call(const std::string &CallId, const std::string &Body = "x",
-                 const std::string &MoreFields = "");
+  CallerReply call(const std::string &CallId, const std::string &Body = "x",
+                   const std::string &MoreFields = "");
   /// Starts a call; its answer is read while runUntil() runs.
-  std::shared_ptr<CallerSaw> begin(const std::string &CallId,
-                                   const std::string &Body = "x",
-                                   const std::string &MoreFields = "");
+  std::shared_ptr<CallerReply> begin(const std::string &CallId,
+                                     const std::string &Body = "x",
+                                     const std::string &MoreFields = "");
   /// Closes the caller's connection.
-  static void leave(const CallerSaw &Call);
+  static void disconnect(const CallerReply &Call);
   /// Runs until \p Done returns true or a time limit expires. \returns the
   /// final result of \p Done.
   bool runUntil(const std::function<bool()> &Done);
@@ -141,7 +141,8 @@
 
 private:
   RequestServices services();
-  Awaitable<void> ask(std::string Bytes, std::shared_ptr<CallerSaw> Saw);
+  Awaitable<void> sendAndReceive(std::string Bytes,
+                                 std::shared_ptr<CallerReply> Reply);
 
   Options Options_;
   boost::asio::io_context Context_{1};
@@ -150,8 +151,8 @@
   std::vector<std::unique_ptr<ScriptedServer>> Servers_;
   PlatformHooks NoPlatform_;
   ClaimStore Claims_{NoPlatform_, ClaimStore::Options()};
-  RepeatBudget Repeats_{RepeatBudget::Options()};
-  ForwardingDialect Dialect_ = ownDialect();
+  RetryBudget RetryBudget_{RetryBudget::Options()};
+  ForwardingDialect Dialect_ = defaultDialect();
   BackendConnections Connections_{BackendConnections::Options()};
   std::unique_ptr<KeeperService> Keeper_;
   std::unique_ptr<GrantClient> Grants_;
@@ -162,8 +163,8 @@
 };
 
 /// \returns a complete answer with a length, the call's id and the proof.
-std::string wholeAnswer(const std::string &CallId, const std::string &Body,
-                        int Status = 200);
+std::string completeAnswer(const std::string &CallId, const std::string &Body,
+                           int Status = 200);
 /// \returns the head of a chunked stream of events.
 std::string streamHead(const std::string &CallId);
 /// \returns one event as one chunk.
--- a/UnitTests/Request/ModelCallTest.cpp
+++ b/UnitTests/Request/ModelCallTest.cpp
@@ -154,7 +154,7 @@
             nullptr,
             Dialect_,
             Lease_,
-            Repeats_,
+            RetryBudget_,
             [](const ForwardingRule &) { return true; },
             [] { return std::size_t{1}; }};
   }
@@ -166,8 +166,8 @@
   DocumentStore Documents_;
   PlatformHooks NoPlatform_;
   ClaimStore Claims_{NoPlatform_, ClaimStore::Options()};
-  RepeatBudget Repeats_{RepeatBudget::Options()};
-  ForwardingDialect Dialect_ = ownDialect();
+  RetryBudget RetryBudget_{RetryBudget::Options()};
+  ForwardingDialect Dialect_ = defaultDialect();
   BackendConnections Connections_{BackendConnections::Options()};
   std::unique_ptr<KeeperService> Keeper_;
   std::unique_ptr<GrantClient> Grants_;
--- a/UnitTests/Request/RepeatBudgetTest.cpp
+++ b/UnitTests/Request/RetryBudgetTest.cpp
@@ -1,4 +1,4 @@
-#include "Request/RepeatBudget.h"
+#include "Request/RetryBudget.h"
 
 #include <doctest/doctest.h>
 
@@ -6,38 +6,38 @@
 using std::chrono::milliseconds;
 
 namespace {
-constexpr RepeatBudget::TimePoint Start{std::chrono::seconds(1000)};
+constexpr RetryBudget::TimePoint Start{std::chrono::seconds(1000)};
 const PoolName Pool("pool");
 } // namespace
 
 TEST_CASE("when every request fails, retries stay a fraction of the requests") {
   // All engines of a pool fail at 50 requests per second. Retrying each request
   // would double the load.
-  RepeatBudget Budget({.Ratio_ = 0.2, .Extra_ = 14});
+  RetryBudget Budget({.Ratio_ = 0.2, .Allowance_ = 14});
   constexpr std::size_t Daemons = 7;
   int Retries = 0;
   for (int Index = 0; Index < 500; ++Index) {
     auto Now = Start + milliseconds(20 * Index);
-    Budget.noteRequest(Pool, Now);
-    Retries += Budget.tryRepeat(Pool, Daemons, Now);
+    Budget.recordRequest(Pool, Now);
+    Retries += Budget.tryRetry(Pool, Daemons, Now);
   }
   CHECK(Retries <= 0.2 * 500 + 14.0 / Daemons);
   CHECK(Retries >= 50);
 }
 
 TEST_CASE("a pool with few requests may still retry some of them") {
-  RepeatBudget Budget({.Ratio_ = 0.2, .Extra_ = 14});
-  Budget.noteRequest(Pool, Start);
-  CHECK(Budget.tryRepeat(Pool, 7, Start));
-  CHECK_FALSE(Budget.tryRepeat(Pool, 7, Start));
-  CHECK(Budget.tryRepeat(Pool, 7, Start + std::chrono::seconds(11)));
+  RetryBudget Budget({.Ratio_ = 0.2, .Allowance_ = 14});
+  Budget.recordRequest(Pool, Start);
+  CHECK(Budget.tryRetry(Pool, 7, Start));
+  CHECK_FALSE(Budget.tryRetry(Pool, 7, Start));
+  CHECK(Budget.tryRetry(Pool, 7, Start + std::chrono::seconds(11)));
 }
 
 TEST_CASE(
     "a daemon that knows no other one has the whole additional allowance") {
-  RepeatBudget Budget({.Ratio_ = 0, .Extra_ = 8});
+  RetryBudget Budget({.Ratio_ = 0, .Allowance_ = 8});
   int Retries = 0;
   for (int Index = 0; Index < 20; ++Index)
-    Retries += Budget.tryRepeat(Pool, 1, Start);
+    Retries += Budget.tryRetry(Pool, 1, Start);
   CHECK(Retries == 6);
 }
--- a/UnitTests/Request/WaitPlanTest.cpp
+++ b/UnitTests/Request/WaitPlanTest.cpp
@@ -48,22 +48,25 @@
 }
 
 TEST_CASE("a retry is detected by a stated timeout below the usual one") {
-  UsualTimeouts Usual;
-  CHECK(Usual.sinceFirstAttempt("r", milliseconds(6000), Start).count() == 0);
-  CHECK(Usual.sinceFirstAttempt("r", milliseconds(5000), Start).count() == 0);
-  CHECK(Usual.sinceFirstAttempt("r", milliseconds(4000), Start) ==
-        milliseconds(2000));
-  CHECK(Usual.sinceFirstAttempt("other", milliseconds(4000), Start).count() ==
+  RetryDetector Detector;
+  CHECK(Detector.sinceFirstAttempt("r", milliseconds(6000), Start).count() ==
+        0);
+  CHECK(Detector.sinceFirstAttempt("r", milliseconds(5000), Start).count() ==
         0);
+  CHECK(Detector.sinceFirstAttempt("r", milliseconds(4000), Start) ==
+        milliseconds(2000));
+  CHECK(
+      Detector.sinceFirstAttempt("other", milliseconds(4000), Start).count() ==
+      0);
 }
 
 TEST_CASE("a timeout that callers no longer state is forgotten") {
-  UsualTimeouts Usual;
-  Usual.sinceFirstAttempt("r", milliseconds(6000), Start);
+  RetryDetector Detector;
+  Detector.sinceFirstAttempt("r", milliseconds(6000), Start);
   for (int Second = 1; Second <= 70; ++Second)
-    Usual.sinceFirstAttempt("r", milliseconds(2000),
-                            Start + std::chrono::seconds(Second));
-  CHECK(Usual
+    Detector.sinceFirstAttempt("r", milliseconds(2000),
+                               Start + std::chrono::seconds(Second));
+  CHECK(Detector
             .sinceFirstAttempt("r", milliseconds(2000),
                                Start + std::chrono::seconds(71))
             .count() == 0);
--- a/UnitTests/platform/ConfigurationTest.cpp
+++ b/UnitTests/platform/ConfigurationTest.cpp
@@ -50,7 +50,7 @@
   REQUIRE(Split);
   const ForwardingRule &Rule = *Split->Forwarding_;
   CHECK(Rule.Kind_ == RequestKind::Stream);
-  CHECK_FALSE(Rule.repeatable());
+  CHECK_FALSE(Rule.retryable());
   CHECK(Rule.Timeout_ == milliseconds(6000));
   CHECK(Rule.Objective_ == milliseconds(800));
   CHECK(Rule.MaxEventGap_ == milliseconds(400));
@@ -75,7 +75,7 @@
   CHECK(Known->Name_ == CustomerName("t-1"));
   CHECK(Known->Allotment_.CountsTokens_);
   CHECK(Known->Allotment_.PerSecond_ == 153443);
-  CHECK(Known->Allotment_.TokensOfOther_ == Tokens(200));
+  CHECK(Known->Allotment_.DefaultTokens_ == Tokens(200));
   CHECK(Document->customerByKeyDigest(sha256Hex("key-c")) == nullptr);
 }
 
@@ -85,7 +85,7 @@
   auto Read = platform::readConfiguration(Changed.dump());
   REQUIRE(Read.has_value());
   const Route *Found = Read->Document_->route("/u/", "a.example");
-  CHECK_FALSE(Found->Forwarding_->repeatable());
+  CHECK_FALSE(Found->Forwarding_->retryable());
 }
 
 TEST_CASE("an invalid configuration is reported with a result code") {
--- a/UnitTests/platform/FakeStore.cpp
+++ b/UnitTests/platform/FakeStore.cpp
@@ -68,10 +68,10 @@
   Changes_.push_back({Key, ++Revision_, true});
 }
 
-void FakeStore::restoreCopy() {
-  Items_ = Copy_.Items_;
-  Changes_ = Copy_.Changes_;
-  Revision_ = Copy_.Revision_;
+void FakeStore::restoreBackup() {
+  Items_ = Backup_.Items_;
+  Changes_ = Backup_.Changes_;
+  Revision_ = Backup_.Revision_;
   HistoryFrom_ = std::min(HistoryFrom_, Revision_);
   ++Restores_;
   Era_ = std::to_string(Era_.empty() ? 1 : std::stoull(Era_) + 1);
@@ -141,7 +141,7 @@
   for (std::size_t At = 0; Open && At < Body.size(); At += PacketBytes) {
     std::string Packet = Body.substr(At, PacketBytes);
     co_await sleepWhileSilent();
-    co_await carry(Packet.size());
+    co_await transmit(Packet.size());
     BytesSent_ += Packet.size();
     Open = co_await Exchange.writeChunk(std::move(Packet));
   }
@@ -149,7 +149,7 @@
     co_await Exchange.endStream();
 }
 
-Awaitable<void> FakeStore::carry(std::size_t Bytes) {
+Awaitable<void> FakeStore::transmit(std::size_t Bytes) {
   std::chrono::duration<double> Needed(static_cast<double>(Bytes) /
                                        static_cast<double>(BytesPerSecond_));
   LinkFreeAt_ = std::max(LinkFreeAt_, steady_clock::now()) +
@@ -217,7 +217,7 @@
       else if (Stored != Items_.end())
         Events.push_back(itemOf(Seen.Key_, Stored->second));
     }
-    Deaf = Deaf || DeafWatches_;
+    Deaf = Deaf || DropWatchEvents_;
     if ((!Events.empty() && !Deaf) || steady_clock::now() >= End) {
       if (Deaf)
         Events.clear();
--- a/UnitTests/platform/FakeStore.h
+++ b/UnitTests/platform/FakeStore.h
@@ -25,10 +25,10 @@
   /// \returns the value of a key, empty if it does not exist.
   std::string get(const std::string &Key) const;
   /// Takes a backup of the current state; it replaces an earlier one.
-  void takeCopy() { Copy_ = State{Items_, Changes_, Revision_}; }
+  void takeBackup() { Backup_ = State{Items_, Changes_, Revision_}; }
   /// Restores the backup and enters the next era. Later writes are lost and
   /// their revisions are assigned again. Pending calls are aborted.
-  void restoreCopy();
+  void restoreBackup();
   /// Drops the history of all changes so far, so that watches cannot read it.
   void dropHistory() { HistoryFrom_ = Revision_; }
   std::size_t calls(const std::string &Path) const;
@@ -43,7 +43,7 @@
   bool Silent_ = false;
   /// Watches that are pending while this is set report no changes. When their
   /// time is up, they return the newest revision without the changes up to it.
-  bool DeafWatches_ = false;
+  bool DropWatchEvents_ = false;
   /// This many writes are applied without an answer.
   int LoseWriteAnswers_ = 0;
   std::size_t PageSize_ = 500;
@@ -76,7 +76,7 @@
   Awaitable<void> handle(HttpExchange &Exchange);
   Awaitable<void> send(HttpExchange &Exchange, HttpResponse Answer);
   /// Waits until the link has transmitted \p Bytes more.
-  Awaitable<void> carry(std::size_t Bytes);
+  Awaitable<void> transmit(std::size_t Bytes);
   Awaitable<void> sleep(std::chrono::steady_clock::duration Time);
   Awaitable<void> sleepWhileSilent();
   Awaitable<HttpResponse> watch(const HttpRequest &Request);
@@ -95,7 +95,7 @@
   std::chrono::steady_clock::time_point LinkFreeAt_;
   std::uint64_t Revision_ = 1;
   std::uint64_t HistoryFrom_ = 0;
-  State Copy_;
+  State Backup_;
   /// The number of restores. Calls that began before the last one are aborted.
   std::uint64_t Restores_ = 0;
 };
--- a/UnitTests/platform/FollowerFleet.h
+++ b/UnitTests/platform/FollowerFleet.h
@@ -25,8 +25,8 @@
 
 inline constexpr milliseconds Lease{1000};
 inline constexpr milliseconds ApplyBound{300};
-inline constexpr milliseconds RegisterAgain{150};
-inline constexpr milliseconds Lapse{800};
+inline constexpr milliseconds RegistrationInterval{150};
+inline constexpr milliseconds ExpiryTime{800};
 
 /// A configuration of about \p Size bytes that consists of pseudo-random
 /// digits, so that compression cannot make it small.
@@ -52,7 +52,7 @@
                   PeerFollower::Hooks Hooks, int Slowdown = 1)
       : StoreDaemon(Context, Store, settings(Slowdown)),
         Choice_(std::move(Choice)) {
-    Hooks.Choose_ = [this] { return Choice_; };
+    Hooks.ChooseReaders_ = [this] { return Choice_; };
     start(VmId(Name), std::move(Hooks));
   }
 
@@ -72,31 +72,31 @@
     Settings Built;
     Built.Lease_ = Lease;
     Built.ApplyBound_ = ApplyBound;
-    Built.Times_ = {RegisterAgain, Lapse};
+    Built.Times_ = {RegistrationInterval, ExpiryTime};
     Built.CallTimeout_ = Slowdown * milliseconds(50);
     StoreFollower::Options &Options = Built.Service_;
     Options.WatchTime_ = milliseconds(2000);
     Options.ConfirmTime_ = milliseconds(200);
     Options.ReaderConfirmTime_ = Slowdown * milliseconds(40);
-    Options.BehindTime_ = milliseconds(20);
-    Options.GatherTime_ = milliseconds(5);
-    Options.FirstGatherTime_ = milliseconds(10);
+    Options.MaxWatchLag_ = milliseconds(20);
+    Options.BatchTime_ = milliseconds(5);
+    Options.FirstBatchTime_ = milliseconds(10);
     Options.FirstPause_ = milliseconds(5);
-    Options.LongestPause_ = milliseconds(10);
+    Options.MaxPause_ = milliseconds(10);
     Options.SpareFirstPause_ = milliseconds(20);
-    Options.SpareLongestPause_ = milliseconds(50);
+    Options.SpareMaxPause_ = milliseconds(50);
     Options.RegisterSpread_ = milliseconds(20);
     PeerFollower::Options &PeerOptions = Built.Peers_;
-    PeerOptions.AskTime_ = Slowdown * milliseconds(40);
-    PeerOptions.AnswerTime_ = Slowdown * milliseconds(40);
-    PeerOptions.OldestAge_ = Slowdown * milliseconds(160);
-    PeerOptions.TryAgainTime_ = Slowdown * milliseconds(100);
+    PeerOptions.RequestInterval_ = Slowdown * milliseconds(40);
+    PeerOptions.AnswerTimeout_ = Slowdown * milliseconds(40);
+    PeerOptions.MaxStateAge_ = Slowdown * milliseconds(160);
+    PeerOptions.SilentRetryTime_ = Slowdown * milliseconds(100);
     PeerOptions.SettleTime_ = milliseconds(50);
-    PeerOptions.StayTime_ = milliseconds(400);
-    PeerOptions.PatientTime_ = milliseconds(200);
-    PeerOptions.AskAgainTime_ = milliseconds(20);
-    PeerOptions.Heard_.Patience_ = milliseconds(30);
-    PeerOptions.Heard_.GiveUp_ = milliseconds(300);
+    PeerOptions.MinFollowTime_ = milliseconds(400);
+    PeerOptions.OutageGraceTime_ = milliseconds(200);
+    PeerOptions.UnusableRetryTime_ = milliseconds(20);
+    PeerOptions.Announced_.RequestDelay_ = milliseconds(30);
+    PeerOptions.Announced_.DeliveryTimeout_ = milliseconds(300);
     return Built;
   }
 };
@@ -135,11 +135,11 @@
   void remove(const std::string &Key) {
     forAllStores([&](FakeStore &Store) { Store.remove(Key); });
   }
-  void takeCopies() {
-    forAllStores([](FakeStore &Store) { Store.takeCopy(); });
+  void takeBackups() {
+    forAllStores([](FakeStore &Store) { Store.takeBackup(); });
   }
-  void restoreCopies() {
-    forAllStores([](FakeStore &Store) { Store.restoreCopy(); });
+  void restoreBackups() {
+    forAllStores([](FakeStore &Store) { Store.restoreBackup(); });
   }
   void forAllStores(const std::function<void(FakeStore &)> &Do) {
     for (auto &[Name, Store] : Stores_)
@@ -149,10 +149,10 @@
   /// Writes a large configuration that the readers get while the follower's
   /// store fails and the text sent to it is dropped. \returns whether the
   /// reader "first" has the version.
-  bool loseTextOf(int Version) {
+  bool dropTextOf(int Version) {
     constexpr std::size_t Size = 100000;
     SpareStore_.FailWith_ = 503;
-    LoseParts_ = true;
+    DropChunks_ = true;
     put("op/config", largeConfiguration(Version, Size));
     return runUntil([&] {
       return (*this)["first"].version() ==
@@ -178,22 +178,22 @@
   std::set<std::string> Frozen_;
   /// The number of messages that are still to be dropped of those that readers
   /// send without a request.
-  int LosePushes_ = 0;
+  int DropPushes_ = 0;
   /// While this is set, the chunks of texts that daemons send are dropped.
-  bool LoseParts_ = false;
+  bool DropChunks_ = false;
   /// The number of chunks that are still to be delivered with a wrong byte.
-  int SpoilParts_ = 0;
+  int CorruptChunks_ = 0;
   /// The number of chunks delivered so far.
-  int Parts_ = 0;
+  int DeliveredChunks_ = 0;
   /// The packed size of the whole text to which the last chunk belongs.
   std::size_t PackedSize_ = 0;
   /// The number of follow requests whose flag for separate texts is set.
-  int AskedApart_ = 0;
+  int SeparateTextRequests_ = 0;
   /// Simulates that one of the two daemons is of an earlier software version
   /// that does not know separate texts.
   bool Mixed_ = false;
   /// The size of the longest message between daemons.
-  std::size_t LongestMessage_ = 0;
+  std::size_t MaxMessageSize_ = 0;
   /// The bandwidth of a daemon's link in bytes per millisecond. Links of
   /// daemons that are not listed are unlimited.
   std::map<std::string, std::size_t> BytesPerMs_;
@@ -229,13 +229,14 @@
       deliver(From, To.str(), Message);
     };
     if (auto Limited = BytesPerMs_.find(From); Limited != BytesPerMs_.end())
-      return carry(LinkFree_[From], Message.size() / Limited->second, Deliver);
+      return transmit(LinkFreeAt_[From], Message.size() / Limited->second,
+                      Deliver);
     boost::asio::post(Context_, Deliver);
   }
   /// Delays a message until the sender's link has transmitted the earlier ones
   /// and this one.
-  void carry(std::chrono::steady_clock::time_point &Free, std::size_t TakesMs,
-             const std::function<void()> &Deliver) {
+  void transmit(std::chrono::steady_clock::time_point &Free,
+                std::size_t TakesMs, const std::function<void()> &Deliver) {
     Free = std::max(Free, std::chrono::steady_clock::now());
     Free += milliseconds(TakesMs) + std::chrono::nanoseconds(1);
     auto Timer = std::make_shared<boost::asio::steady_timer>(Context_, Free);
@@ -246,40 +247,40 @@
                const std::string &Message) {
     if (Frozen_.contains(From) || Frozen_.contains(To))
       return;
-    LongestMessage_ = std::max(LongestMessage_, Message.size());
+    MaxMessageSize_ = std::max(MaxMessageSize_, Message.size());
     auto Decoded = decodeMessage(Message).value();
     PeerFollower &Peers = *Daemons_.at(To)->Peers_;
     if (auto *Request = Decoded.body.AsFollow()) {
       Request->text_apart = Request->text_apart && !Mixed_;
-      AskedApart_ += Request->text_apart ? 1 : 0;
+      SeparateTextRequests_ += Request->text_apart ? 1 : 0;
       return Peers.onFollow(VmId(From), *Request);
     }
     if (const auto *Text = Decoded.body.AsTextAsk())
-      return Peers.onTextAsk(VmId(From), *Text);
+      return Peers.onTextRequest(VmId(From), *Text);
     if (auto *Part = Decoded.body.AsTextPart())
-      return deliverPart(From, Peers, *Part);
+      return deliverChunk(From, Peers, *Part);
     const auto *Answer = Decoded.body.AsState();
-    if (Answer->sequence == 0 && LosePushes_ > 0) {
-      --LosePushes_;
+    if (Answer->sequence == 0 && DropPushes_ > 0) {
+      --DropPushes_;
       return;
     }
     Peers.onState(VmId(From), *Answer);
   }
-  void deliverPart(const std::string &From, PeerFollower &Peers,
-                   wire::TextPartT &Part) {
-    if (LoseParts_)
+  void deliverChunk(const std::string &From, PeerFollower &Peers,
+                    wire::TextPartT &Part) {
+    if (DropChunks_)
       return;
-    ++Parts_;
+    ++DeliveredChunks_;
     PackedSize_ = Part.packed_size;
-    if (SpoilParts_ > 0 && !Part.bytes.empty()) {
-      --SpoilParts_;
+    if (CorruptChunks_ > 0 && !Part.bytes.empty()) {
+      --CorruptChunks_;
       Part.bytes.back() ^= 0xff;
     }
-    Peers.onTextPart(VmId(From), Part);
+    Peers.onTextChunk(VmId(From), Part);
   }
 
   /// When each daemon's link has transmitted all messages that it was given.
-  std::map<std::string, std::chrono::steady_clock::time_point> LinkFree_;
+  std::map<std::string, std::chrono::steady_clock::time_point> LinkFreeAt_;
 };
 
 /// A daemon that follows one of two simulated readers. The readers always
@@ -290,7 +291,7 @@
     Store_.put("op/config", configuration(3));
     PeerFollower::Hooks Hooks;
     Hooks.Send_ = [this](const VmId &To, const std::string &Message) {
-      ++Questions_[To.str()];
+      ++Requests_[To.str()];
       answer(To, decodeMessage(Message).value().body.AsFollow()->sequence);
     };
     Hooks.Reply_ = [](const VmId &, const std::string &) {};
@@ -308,7 +309,7 @@
   /// How long the daemon is blocked after the next answer has arrived.
   milliseconds NextPause_{0};
   /// The number of requests that each reader got.
-  std::map<std::string, int> Questions_;
+  std::map<std::string, int> Requests_;
   std::unique_ptr<FollowingDaemon> Self_;
 
 private:
--- a/UnitTests/platform/HeadersTest.cpp
+++ b/UnitTests/platform/HeadersTest.cpp
@@ -31,7 +31,7 @@
   CHECK(Labels.Timeout_ == milliseconds(6000));
   CHECK(Labels.Prompt_ == Tokens(1460));
   CHECK(Labels.MaxAnswer_ == Tokens(80));
-  CHECK(Labels.GuessedAnswer_ == Tokens(12));
+  CHECK(Labels.EstimatedAnswer_ == Tokens(12));
   REQUIRE(Labels.Parts_.size() == 2);
   CHECK(Labels.Parts_[1].Id_ == 0x91bd3f06);
   CHECK(Labels.Parts_[1].Length_ == Tokens(410));
--- a/UnitTests/platform/OverdueConfigurationTest.cpp
+++ b/UnitTests/platform/OverdueConfigurationTest.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 Script answerAll(const std::string &Request, std::size_t /*Number*/) {
-  return {wholeAnswer(fieldIn(Request, "x-call-id"), "answer")};
+  return {completeAnswer(fieldIn(Request, "x-call-id"), "answer")};
 }
 
 ForwardingHarness::Options withApplyBound() {
@@ -39,7 +39,7 @@
   CHECK(Overdue.status() == 503);
   CHECK(fieldIn(Overdue.Bytes_, "x-result-code") == "213");
   CHECK(Path.received() == 1);
-  Path.lease().newestInForce();
+  Path.lease().newestActive();
   CHECK(Path.call("c3").status() == 200);
 }
 
@@ -47,7 +47,7 @@
 // yet. A request for it must get a temporary error instead of a denial.
 TEST_CASE("nothing is denied while a newer configuration is known of") {
   auto Wanted = withApplyBound();
-  Wanted.Keyed_ = true;
+  Wanted.RequiresKey_ = true;
   ForwardingHarness Path(Wanted, {answerAll});
   Path.adopt({"another key"});
   CHECK(Path.call("c1").status() == 401);
@@ -62,10 +62,10 @@
   Fleet Test;
   FollowingDaemon &Spare = Test["spare"];
   REQUIRE(Test.runUntil([&] { return Spare.follows("first"); }));
-  REQUIRE(Test.loseTextOf(5));
+  REQUIRE(Test.dropTextOf(5));
   auto IsOverdue = [&] { return Spare.Freshness_.overdue(BootClock::now()); };
   CHECK(Test.runUntil(IsOverdue));
-  Test.LoseParts_ = false;
+  Test.DropChunks_ = false;
   CHECK(Test.runUntil([&] { return !IsOverdue(); }));
   CHECK(Spare.version() == DocumentVersion(5));
 }
--- a/UnitTests/platform/PeerFollowerTest.cpp
+++ b/UnitTests/platform/PeerFollowerTest.cpp
@@ -175,7 +175,7 @@
   Fleet Test;
   FollowingDaemon &Spare = Test["spare"];
   REQUIRE(Test.runUntil([&] { return Spare.follows("first"); }));
-  Test.LosePushes_ = 1;
+  Test.DropPushes_ = 1;
   Test.put("servers/i-2", serverEntry("ready"));
   REQUIRE(Test.runUntil([&] { return Test["first"].isActive("i-2"); }));
   Test.put("servers/i-3", serverEntry("ready"));
@@ -221,9 +221,9 @@
   Test.runFor(Lease + milliseconds(300));
   CHECK(Spare.Freshness_.valid(BootClock::now()));
   // The load balancer should prefer other daemons for callers.
-  CHECK_FALSE(Spare.Peers_->inTouch());
+  CHECK_FALSE(Spare.Peers_->hasSource());
   Test.SpareStore_.FailWith_ = 0;
-  CHECK(Test.runUntil([&] { return Spare.Peers_->inTouch(); }));
+  CHECK(Test.runUntil([&] { return Spare.Peers_->hasSource(); }));
   CHECK(Test.runUntil([&] { return !Spare.Peers_->reader(); }));
 }
 
@@ -249,11 +249,11 @@
   // over saturated links.
   LoneFollower Test;
   REQUIRE(Test.runUntil([&] { return Test.Self_->follows("first"); }));
-  int Before = Test.Questions_["first"];
+  int Before = Test.Requests_["first"];
   Test.NextPause_ = milliseconds(60);
-  REQUIRE(Test.runUntil([&] { return Test.Questions_["first"] > Before + 2; }));
+  REQUIRE(Test.runUntil([&] { return Test.Requests_["first"] > Before + 2; }));
   CHECK(Test.NextPause_.count() == 0);
-  CHECK(Test.Questions_["second"] == 0);
+  CHECK(Test.Requests_["second"] == 0);
   CHECK(Test.Self_->follows("first"));
 }
 
@@ -288,7 +288,7 @@
   Test.put("op/config", largeConfiguration(5, 1000000));
   CHECK(Test.runUntil([&] { return Spare.version() == DocumentVersion(5); }));
   constexpr std::size_t MaxMessage = 32 * 1024;
-  CHECK(Test.LongestMessage_ < MaxMessage);
+  CHECK(Test.MaxMessageSize_ < MaxMessage);
 }
 
 TEST_CASE("little is sent of a configuration that changed a little") {
@@ -314,13 +314,13 @@
   Fleet Test;
   FollowingDaemon &Spare = Test["spare"];
   REQUIRE(Test.runUntil([&] { return Spare.follows("first"); }));
-  REQUIRE(Test.loseTextOf(5));
+  REQUIRE(Test.dropTextOf(5));
   Test.put("servers/i-1", serverEntry("draining"));
   CHECK(Test.runUntil([&] { return !Spare.isActive("i-1"); }));
   CHECK(
       Test.runUntil([&] { return !Spare.Freshness_.valid(BootClock::now()); }));
   CHECK(Spare.version() == DocumentVersion(3));
-  Test.LoseParts_ = false;
+  Test.DropChunks_ = false;
   CHECK(Test.runUntil([&] { return Spare.version() == DocumentVersion(5); }));
   CHECK(
       Test.runUntil([&] { return Spare.Freshness_.valid(BootClock::now()); }));
@@ -331,10 +331,10 @@
   FollowingDaemon &Spare = Test["spare"];
   REQUIRE(Test.runUntil([&] { return Spare.follows("first"); }));
   Test.SpareStore_.FailWith_ = 503;
-  Test.SpoilParts_ = 1;
+  Test.CorruptChunks_ = 1;
   Test.put("op/config", largeConfiguration(5, 100000));
   CHECK(Test.runUntil([&] { return Spare.version() == DocumentVersion(5); }));
-  CHECK(Test.SpoilParts_ == 0);
+  CHECK(Test.CorruptChunks_ == 0);
 }
 
 TEST_CASE("the text comes from the next reader when the first one freezes in "
@@ -344,7 +344,7 @@
   REQUIRE(Test.runUntil([&] { return Spare.follows("first"); }));
   Test.SpareStore_.FailWith_ = 503;
   Test.put("op/config", largeConfiguration(5, 300000));
-  REQUIRE(Test.runUntil([&] { return Test.Parts_ >= 2; }));
+  REQUIRE(Test.runUntil([&] { return Test.DeliveredChunks_ >= 2; }));
   REQUIRE(Spare.version() == DocumentVersion(3));
   Test.Frozen_.insert("first");
   CHECK(Test.runUntil([&] { return Spare.version() == DocumentVersion(5); }));
@@ -357,13 +357,13 @@
   REQUIRE(Test.runUntil([&] { return Spare.follows("first"); }));
   Test.SpareStore_.FailWith_ = 503;
   Test.put("op/config", largeConfiguration(5, 300000));
-  REQUIRE(Test.runUntil([&] { return Test.Parts_ >= 2; }));
-  Test.LoseParts_ = true;
+  REQUIRE(Test.runUntil([&] { return Test.DeliveredChunks_ >= 2; }));
+  Test.DropChunks_ = true;
   Test.put("op/config", largeConfiguration(6, 300000));
   for (const char *Name : {"first", "second"})
     REQUIRE(Test.runUntil(
         [&] { return Test[Name].version() == DocumentVersion(6); }));
-  Test.LoseParts_ = false;
+  Test.DropChunks_ = false;
   CHECK(Test.runUntil([&] { return Spare.version() > DocumentVersion(3); }));
   CHECK(Spare.version() == DocumentVersion(6));
 }
@@ -381,15 +381,15 @@
   Test.SpareStore_.FailWith_ = 503;
   Test.put("op/config", largeConfiguration(5, 100000));
   CHECK(Test.runUntil([&] { return Spare.version() == DocumentVersion(5); }));
-  CHECK(Test.Parts_ == 0);
+  CHECK(Test.DeliveredChunks_ == 0);
   Test.runFor(Lease + milliseconds(300));
   CHECK(Spare.Freshness_.valid(BootClock::now()));
   // The daemon of the earlier version is replaced.
   Test.Mixed_ = false;
-  REQUIRE(Test.runUntil([&] { return Test.AskedApart_ > 0; }));
+  REQUIRE(Test.runUntil([&] { return Test.SeparateTextRequests_ > 0; }));
   Test.put("op/config", largeConfiguration(6, 100000));
   CHECK(Test.runUntil([&] { return Spare.version() == DocumentVersion(6); }));
-  CHECK(Test.Parts_ > 0);
+  CHECK(Test.DeliveredChunks_ > 0);
 }
 
 TEST_CASE("a daemon that has a large configuration follows a reader whose link "
@@ -477,5 +477,5 @@
   FollowingDaemon &Spare = Test["spare"];
   Spare.Choice_.Role_ = StoreRole::Alone;
   CHECK(Test.runUntil([&] { return Spare.isActive("i-999"); }));
-  CHECK(Test.LongestMessage_ < MaxSent);
+  CHECK(Test.MaxMessageSize_ < MaxSent);
 }
--- a/UnitTests/platform/StoreDaemon.h
+++ b/UnitTests/platform/StoreDaemon.h
@@ -36,8 +36,8 @@
             platform::storeHooks(Store.address(), Wanted_.CallTimeout_), View_,
             Freshness_, Wanted_.Service_)) {
     StoreView::Hooks Hooks;
-    Hooks.DaemonSeen_ = [this](const VmId &Id, const KeyValue &Entry) {
-      Service_->daemonSeen(Id, Entry);
+    Hooks.DaemonEntryRead_ = [this](const VmId &Id, const KeyValue &Entry) {
+      Service_->onDaemonEntry(Id, Entry);
     };
     Hooks.Changed_ = [this] { Peers_->onChanged(); };
     View_.setHooks(std::move(Hooks));
--- a/UnitTests/platform/StoreEraModelTest.cpp
+++ b/UnitTests/platform/StoreEraModelTest.cpp
@@ -128,7 +128,7 @@
       : View_(Documents_, layout(HasIncarnation),
               {RegistrationInterval, ExpiryTime}) {
     StoreView::Hooks Hooks;
-    Hooks.DaemonSeen_ = [](const VmId &, const KeyValue &) {};
+    Hooks.DaemonEntryRead_ = [](const VmId &, const KeyValue &) {};
     Hooks.Changed_ = [] {};
     Hooks.Now_ = [&Now] { return Now; };
     View_.setHooks(std::move(Hooks));
@@ -140,7 +140,7 @@
     View_.listed(All);
     View_.publish();
     ReachedAt_ = RequestedAt;
-    View_.heardAt(RequestedAt);
+    View_.appliedAsOf(RequestedAt);
   }
   /// Applies everything that \p Reader would send to a follower.
   void followOnce(const ModelDaemon &Reader) {
@@ -151,12 +151,12 @@
     if (!View_.follow(Changes, Reader.View_.position(), EraFirst))
       return;
     takeVersionOf(Reader);
-    View_.heardAt(Reader.ReachedAt_);
+    View_.appliedAsOf(Reader.ReachedAt_);
   }
   void takeVersionOf(const ModelDaemon &Other) {
     auto Text = std::to_string(Other.View_.version().count());
     if (Other.View_.version() > View_.version())
-      CHECK(View_.takeText(Other.View_.version(), Text));
+      CHECK(View_.applyText(Other.View_.version(), Text));
   }
   /// \returns the engine's incarnation that may get work, 0 if none may.
   std::uint64_t activeIncarnation() const {
@@ -271,7 +271,7 @@
     else if (!Store_.holds("servers/i-1", Engine_.text()))
       writeEngine();
     for (auto &Daemon : Daemons_)
-      Daemon->View_.dropUnseen();
+      Daemon->View_.dropMissing();
   }
 
   void restartFirst() {
--- a/UnitTests/platform/StoreEraTest.cpp
+++ b/UnitTests/platform/StoreEraTest.cpp
@@ -53,10 +53,10 @@
   /// Restores the store from a backup without \p Version after all daemons have
   /// got this version. \returns whether all had it before.
   bool loseVersion(int Version) {
-    takeCopies();
+    takeBackups();
     put("op/config", configuration(Version));
     bool All = allHave(Version);
-    restoreCopies();
+    restoreBackups();
     return All;
   }
 };
@@ -92,10 +92,10 @@
     "a version that the backup holds is confirmed when it is written again, "
     "or after a while") {
   RestoreFleet Test;
-  Test.takeCopies();
+  Test.takeBackups();
   Test.put("servers/i-2", serverEntry("ready"));
   REQUIRE(Test.runUntil([&] { return Test["first"].isActive("i-2"); }));
-  Test.restoreCopies();
+  Test.restoreBackups();
   REQUIRE(Test.allInEra(1));
   BootTime Seen = Test["first"].View_.eraStart()->SeenAt_;
   SUBCASE("written again") {
@@ -105,7 +105,7 @@
   }
   SUBCASE("after a while") {
     CHECK_FALSE(Test["first"].View_.confirmsNewest(Seen));
-    CHECK(Test["first"].View_.confirmsNewest(Seen + RegisterAgain));
+    CHECK(Test["first"].View_.confirmsNewest(Seen + RegistrationInterval));
   }
 }
 
@@ -116,24 +116,24 @@
 /// Restores the service from a backup in which i-1 has not left yet.
 void restoreBeforeLeaving(RestoreFleet &Test,
                           const std::function<void()> &Leave) {
-  Test.takeCopies();
+  Test.takeBackups();
   Leave();
   REQUIRE(Test.everybody(
       [](FollowingDaemon &Daemon) { return !hasFirstServer(Daemon); }));
-  Test.restoreCopies();
+  Test.restoreBackups();
   REQUIRE(Test.allInEra(1));
-  Test.runFor(Lapse / 2);
+  Test.runFor(ExpiryTime / 2);
   CHECK(Test.nobody(hasFirstServer));
   SUBCASE("its entry expires") {
     Test.remove("servers/i-1");
-    Test.runFor(Lapse);
+    Test.runFor(ExpiryTime);
     CHECK(Test.nobody(hasFirstServer));
   }
   SUBCASE("it is written again") {
     auto Before = BootClock::now();
     Test.put("servers/i-1", serverEntry("ready"));
     CHECK(Test.everybody(hasFirstServer));
-    CHECK(BootClock::now() - Before < Lapse / 2);
+    CHECK(BootClock::now() - Before < ExpiryTime / 2);
   }
   SUBCASE("its entry exists longer than that of a dead server would") {
     CHECK(Test.everybody(hasFirstServer));
@@ -162,13 +162,13 @@
 TEST_CASE("a server that the copy lacks gets work until it should have written "
           "again") {
   RestoreFleet Test;
-  Test.takeCopies();
+  Test.takeBackups();
   Test.put("servers/i-2", serverEntry("ready"));
   Test.put("servers/i-3", serverEntry("ready"));
   REQUIRE(Test.everybody([](FollowingDaemon &Daemon) {
     return Daemon.isActive("i-2") && Daemon.isActive("i-3");
   }));
-  Test.restoreCopies();
+  Test.restoreBackups();
   REQUIRE(Test.allInEra(1));
   CHECK(Test["first"].isActive("i-2"));
   CHECK(Test["spare"].isActive("i-3"));
@@ -185,11 +185,11 @@
   RestoreFleet Test;
   FollowingDaemon &First = Test["first"];
   FakeStore &Store = Test.storeOf("first");
-  Store.takeCopy();
+  Store.takeBackup();
   Store.put("servers/i-2", serverEntry("ready"));
   REQUIRE(Test.runUntil([&] { return First.isActive("i-2"); }));
   Store.Silent_ = true;
-  Store.restoreCopy();
+  Store.restoreBackup();
   Store.put("servers/i-1", serverEntry("draining"));
   for (int Index = 0; Index < 5; ++Index)
     Store.put("servers/i-2", serverEntry("ready"));
@@ -202,11 +202,11 @@
 TEST_CASE("daemons write their own entries again, and followers list nothing "
           "for it") {
   Fleet Test;
-  Test.takeCopies();
+  Test.takeBackups();
   REQUIRE(Test.runUntil([&] { return Test["spare"].follows("first"); }));
   REQUIRE(Test.runUntil([&] { return Test["first"].Service_->registered(); }));
   auto Lists = Test.SpareStore_.calls("/-/kv-range");
-  Test.restoreCopies();
+  Test.restoreBackups();
   CHECK(Test.storeOf("first").get("samphireshunt/daemons/first").empty());
   CHECK(Test.runUntil([&] {
     return !Test.storeOf("first").get("samphireshunt/daemons/first").empty() &&
@@ -225,10 +225,10 @@
   Test.startSpare();
   FollowingDaemon &Spare = Test["spare"];
   REQUIRE(Test.runUntil([&] { return Spare.version() == DocumentVersion(3); }));
-  Spare.Peers_->onVersionHeard(VmId("first"), DocumentVersion(5));
-  CHECK(Spare.Peers_->lacksHeardVersion());
+  Spare.Peers_->onVersionAnnounced(VmId("first"), DocumentVersion(5));
+  CHECK(Spare.Peers_->lacksAnnouncedVersion());
   CHECK(Test.runUntil([&] { return Spare.version() == DocumentVersion(5); }));
-  CHECK_FALSE(Spare.Peers_->lacksHeardVersion());
+  CHECK_FALSE(Spare.Peers_->lacksAnnouncedVersion());
 }
 
 // A single daemon announces a version that it cannot deliver. Others that
@@ -236,10 +236,10 @@
 TEST_CASE("a version that its daemon does not deliver is ignored") {
   RestoreFleet Test;
   FollowingDaemon &Spare = Test["spare"];
-  Spare.Peers_->onVersionHeard(VmId("second"), DocumentVersion(99));
-  CHECK(Test.runUntil([&] { return !Spare.Peers_->lacksHeardVersion(); }));
-  Spare.Peers_->onVersionHeard(VmId("second"), DocumentVersion(100));
-  CHECK_FALSE(Spare.Peers_->lacksHeardVersion());
+  Spare.Peers_->onVersionAnnounced(VmId("second"), DocumentVersion(99));
+  CHECK(Test.runUntil([&] { return !Spare.Peers_->lacksAnnouncedVersion(); }));
+  Spare.Peers_->onVersionAnnounced(VmId("second"), DocumentVersion(100));
+  CHECK_FALSE(Spare.Peers_->lacksAnnouncedVersion());
   Test.runFor(ApplyBound);
   CHECK_FALSE(Spare.Freshness_.overdue(BootClock::now()));
 }
@@ -269,8 +269,8 @@
   LogCapture Log;
   FollowingDaemon &First = Test["first"];
   FakeStore &Store = Test.storeOf("first");
-  Store.takeCopy();
-  Store.restoreCopy();
+  Store.takeBackup();
+  Store.restoreBackup();
   REQUIRE(Test.runUntil(
       [&] { return First.View_.position().Era_ == StoreEra(1); }));
   Store.Era_ = "0";
@@ -308,7 +308,7 @@
   Test.put("op/config", configuration(5));
   Test.put("op/config", configuration(6));
   REQUIRE(Test.allHave(6));
-  Test.restoreCopies();
+  Test.restoreBackups();
   REQUIRE(Test.allInEra(2));
   CHECK(
       Test.everybody([](FollowingDaemon &Daemon) { return !isFresh(Daemon); }));
--- a/UnitTests/platform/StoreFollowerTest.cpp
+++ b/UnitTests/platform/StoreFollowerTest.cpp
@@ -29,8 +29,8 @@
 public:
   explicit FollowerFixture(
       milliseconds WatchTime = milliseconds(2000),
-      milliseconds LapseTime = StoreFollower::Options().LapseTime_)
-      : WatchTime_(WatchTime), LapseTime_(LapseTime), Store_(Context_),
+      milliseconds LapseTime = StoreFollower::Options().EarliestExpiry_)
+      : WatchTime_(WatchTime), EarliestExpiry_(LapseTime), Store_(Context_),
         Freshness_(Lease, ApplyBound),
         View_(Documents_, platform::storeLayout(), {milliseconds(150)}) {
     Store_.put("op/config", configuration(3));
@@ -41,16 +41,16 @@
   void follow() {
     StoreFollower::Options Options;
     Options.WatchTime_ = WatchTime_;
-    Options.LapseTime_ = LapseTime_;
+    Options.EarliestExpiry_ = EarliestExpiry_;
     Options.ConfirmTime_ = milliseconds(100);
-    Options.BehindTime_ = milliseconds(20);
-    Options.GatherTime_ = milliseconds(5);
-    Options.FirstGatherTime_ = milliseconds(5);
+    Options.MaxWatchLag_ = milliseconds(20);
+    Options.BatchTime_ = milliseconds(5);
+    Options.FirstBatchTime_ = milliseconds(5);
     Options.FirstPause_ = milliseconds(5);
-    Options.LongestPause_ = milliseconds(10);
+    Options.MaxPause_ = milliseconds(10);
     StoreView::Hooks Hooks;
-    Hooks.DaemonSeen_ = [this](const VmId &Id, const KeyValue &Entry) {
-      Follower_->daemonSeen(Id, Entry);
+    Hooks.DaemonEntryRead_ = [this](const VmId &Id, const KeyValue &Entry) {
+      Follower_->onDaemonEntry(Id, Entry);
       Seen_[Id] = Entry.Value_;
     };
     Hooks.Changed_ = [] {};
@@ -83,7 +83,7 @@
   }
 
   milliseconds WatchTime_;
-  milliseconds LapseTime_;
+  milliseconds EarliestExpiry_;
   boost::asio::io_context Context_;
   FakeStore Store_;
   DocumentStore Documents_;
@@ -221,10 +221,10 @@
   FollowerFixture Test;
   REQUIRE(Test.runUntil([&] { return Test.isActive("i-1"); }));
   Test.runFor(milliseconds(30));
-  Test.Store_.DeafWatches_ = true;
+  Test.Store_.DropWatchEvents_ = true;
   Test.Store_.put("servers/i-1", serverEntry("draining"));
   Test.runFor(milliseconds(10));
-  Test.Store_.DeafWatches_ = false;
+  Test.Store_.DropWatchEvents_ = false;
   auto Begin = std::chrono::steady_clock::now();
   CHECK(Test.runUntil([&] { return !Test.isActive("i-1"); }));
   CHECK(std::chrono::steady_clock::now() - Begin < milliseconds(1500));
@@ -274,11 +274,11 @@
   REQUIRE(Test.runUntil([&] { return Test.Store_.calls("/-/kv-txn") == 1; }));
   REQUIRE(Test.runUntil(Fresh));
   Test.runFor(milliseconds(150));
-  Test.Store_.DeafWatches_ = true;
+  Test.Store_.DropWatchEvents_ = true;
   Test.Store_.put("op/config", configuration(4));
   Test.runFor(Lease + milliseconds(100));
   CHECK((Test.version() == DocumentVersion(4) || !Fresh()));
-  Test.Store_.DeafWatches_ = false;
+  Test.Store_.DropWatchEvents_ = false;
   CHECK(Test.runUntil(
       [&] { return Test.version() == DocumentVersion(4) && Fresh(); }));
 }
@@ -294,12 +294,12 @@
   REQUIRE(Test.runUntil([&] { return Test.isActive("i-1"); }));
   REQUIRE(Test.runUntil([&] { return Test.Store_.calls("/-/kv-txn") == 1; }));
   Test.runFor(ShortWatch * 2);
-  Test.Store_.DeafWatches_ = true;
+  Test.Store_.DropWatchEvents_ = true;
   Test.runFor(milliseconds(10));
   Test.Store_.remove("servers/i-1");
   Test.Store_.put("op/config", configuration(4));
   Test.runFor(ShortWatch * 2);
-  Test.Store_.DeafWatches_ = false;
+  Test.Store_.DropWatchEvents_ = false;
   CHECK(Test.runUntil([&] {
     return Test.servers() == 0 && Test.version() == DocumentVersion(4);
   }));
@@ -347,7 +347,7 @@
 TEST_CASE("a change that was reported before an outage makes nothing overdue") {
   FollowerFixture Test;
   REQUIRE(Test.runUntil([&] { return Test.Store_.calls("/-/kv-txn") == 1; }));
-  Test.Store_.DeafWatches_ = true;
+  Test.Store_.DropWatchEvents_ = true;
   Test.runFor(milliseconds(30));
   auto Calls = Test.Store_.calls("/-/kv-range");
   Test.Store_.put("servers/i-1", serverEntry("draining"));
--- a/UnitTests/platform/StoreTest.cpp
+++ b/UnitTests/platform/StoreTest.cpp
@@ -195,13 +195,13 @@
   Test.begin<KeyValueList>([&] { return Test.Hooks_.List_(""); }, Got);
   REQUIRE(runUntil(Test.Context_,
                    [&] { return Test.Store_.bytesSent() > Large / 2; }));
-  CHECK(Test.Hooks_.AnswerComes_());
+  CHECK(Test.Hooks_.AnswerArriving_());
   Test.Store_.Silent_ = true;
   auto Begin = std::chrono::steady_clock::now();
   REQUIRE(runUntil(Test.Context_, [&] { return Got.has_value(); }));
   CHECK(Got->error().Code_ == ResultCode::PlatformUnavailable);
   CHECK(std::chrono::steady_clock::now() - Begin < CallTime * 2);
-  CHECK_FALSE(Test.Hooks_.AnswerComes_());
+  CHECK_FALSE(Test.Hooks_.AnswerArriving_());
 }
 
 TEST_CASE(
@@ -242,10 +242,10 @@
           "unknown") {
   StoreFixture Test;
   Test.Store_.put("k", "old");
-  Test.Store_.takeCopy();
+  Test.Store_.takeBackup();
   auto Written = Test.put("k", "ours", at(2));
   REQUIRE(Written.has_value());
-  Test.Store_.restoreCopy();
+  Test.Store_.restoreBackup();
   Test.Store_.put("k", "another's");
   CHECK(Test.put("k", "ours again", *Written).error().Code_ ==
         ResultCode::StoreRestored);
--- a/UnitTests/platform/StoreViewTest.cpp
+++ b/UnitTests/platform/StoreViewTest.cpp
@@ -37,7 +37,7 @@
   Follower()
       : View_(Documents_, platform::storeLayout(), {milliseconds(2400)}) {
     StoreView::Hooks Hooks;
-    Hooks.DaemonSeen_ = [](const VmId &, const KeyValue &) {};
+    Hooks.DaemonEntryRead_ = [](const VmId &, const KeyValue &) {};
     Hooks.Changed_ = [] {};
     View_.setHooks(std::move(Hooks));
   }
--- a/UnitTests/standins/CheckerTest.cpp
+++ b/UnitTests/standins/CheckerTest.cpp
@@ -37,7 +37,7 @@
 std::size_t violationCount(std::vector<CallRecord> Calls,
                            std::vector<LedgerLine> Ledger,
                            bool Killed = false) {
-  return check(Calls, Ledger, {.DaemonsKilled_ = Killed}).size();
+  return findViolations(Calls, Ledger, {.DaemonsKilled_ = Killed}).size();
 }
 
 } // namespace
--- a/standins/Caller.cpp
+++ b/standins/Caller.cpp
@@ -171,7 +171,7 @@
   auto Started = steady_clock::now();
   AnswerReader Answer(Request, Record);
   std::unique_ptr<HttpConnection> Connection;
-  if (Reused && *Reused && (*Reused)->quiet())
+  if (Reused && *Reused && (*Reused)->hasNoUnexpectedInput())
     Connection = std::move(*Reused);
   if (!Connection) {
     auto Connected =
--- a/standins/Checker.cpp
+++ b/standins/Checker.cpp
@@ -120,9 +120,9 @@
 
 } // namespace
 
-std::vector<std::string> check(const std::vector<CallRecord> &Calls,
-                               const std::vector<LedgerLine> &Ledger,
-                               CheckOptions Options) {
+std::vector<std::string> findViolations(const std::vector<CallRecord> &Calls,
+                                        const std::vector<LedgerLine> &Ledger,
+                                        CheckOptions Options) {
   return Check(Ledger, Options).run(Calls);
 }
 
--- a/standins/Checker.h
+++ b/standins/Checker.h
@@ -27,9 +27,9 @@
 };
 
 /// \returns a line of text for each violation; none when the run was correct.
-std::vector<std::string> check(const std::vector<CallRecord> &Calls,
-                               const std::vector<LedgerLine> &Ledger,
-                               CheckOptions Options);
+std::vector<std::string> findViolations(const std::vector<CallRecord> &Calls,
+                                        const std::vector<LedgerLine> &Ledger,
+                                        CheckOptions Options);
 
 /// Reads a log that callers wrote. Lines that are no JSON object are skipped.
 std::vector<CallRecord> readCallerLog(const std::string &Path);
--- a/standins/CheckerMain.cpp
+++ b/standins/CheckerMain.cpp
@@ -36,7 +36,7 @@
     std::ranges::move(readLedger(Path), std::back_inserter(Ledger));
   CheckOptions Options;
   Options.DaemonsKilled_ = absl::GetFlag(FLAGS_daemons_killed);
-  auto Findings = check(Calls, Ledger, Options);
+  auto Findings = findViolations(Calls, Ledger, Options);
   for (const std::string &Finding : Findings)
     fmt::print("VIOLATION {}\n", Finding);
   fmt::print("{} calls, {} ledger lines, {} violations\n", Calls.size(),
--- a/standins/Relay.cpp
+++ b/standins/Relay.cpp
@@ -92,7 +92,7 @@
       Datagrams_ = std::move(*Bound);
       return {};
     };
-    return openAtOnePort(Listen, OpenStreams, OpenDatagrams);
+    return openOnSamePort(Listen, OpenStreams, OpenDatagrams);
   }
 
   void closeAll() {
