--- a/Source/Process/Configuration/AnnouncedVersions.h
+++ b/Source/Process/Configuration/AnnouncedVersions.h
@@ -18,7 +18,7 @@
 public:
   struct Options {
     /// How long to wait for the version to arrive from the reader or the
-    /// service.
+    /// service, which normally takes less.
     std::chrono::milliseconds RequestDelay_{400};
     /// A version that its announcer does not deliver within this time is
     /// ignored.
--- a/Source/Process/Configuration/MeasuredPlatform.h
+++ b/Source/Process/Configuration/MeasuredPlatform.h
@@ -13,8 +13,9 @@
 using PlatformCallObserver = std::function<void(
     const std::string &Call, bool Succeeded, std::chrono::microseconds Time)>;
 
-/// Wraps \p Inner so that each call is reported to \p Seen, which must outlive
-/// the hooks.
-PlatformHooks measuredPlatform(PlatformHooks Inner, PlatformCallObserver Seen);
+/// Wraps \p Inner so that each call is reported to \p Observer, which must
+/// outlive the hooks.
+PlatformHooks measuredPlatform(PlatformHooks Inner,
+                               PlatformCallObserver Observer);
 
 } // namespace samphireshunt
--- a/Source/Process/Configuration/PeerFollower.h
+++ b/Source/Process/Configuration/PeerFollower.h
@@ -64,10 +64,11 @@
     /// bounds how long a follower may not learn of a leaving server when the
     /// service refuses only the readers.
     std::chrono::milliseconds OutageGraceTime_{1000};
-    /// How long until a reader is asked again that answered that it can't be
-    /// followed.
+    /// How long until a reader is asked again whose answer showed that it can't
+    /// be followed.
     std::chrono::milliseconds UnusableRetryTime_{250};
-    /// How long until a reader that failed to answer is tried again.
+    /// How long until a reader that did not answer, or whose link broke, is
+    /// tried again.
     std::chrono::milliseconds SilentRetryTime_{1000};
     /// A daemon that starts reads the service itself for this long, until
     /// daemons that started together with it have registered there and have
--- a/Source/Process/Configuration/StoreView.h
+++ b/Source/Process/Configuration/StoreView.h
@@ -45,7 +45,8 @@
 class StoreView {
 public:
   struct Hooks {
-    /// Called when a daemon has registered itself, with its name and its entry.
+    /// Called when a daemon has registered itself, with its name and its entry,
+    /// whose value is its address.
     std::function<void(const VmId &, const KeyValue &)> DaemonEntryRead_;
     /// Called after a change that followers of this daemon should receive.
     std::function<void()> Changed_;
--- a/Tools/mutations.sh
+++ b/Tools/mutations.sh
@@ -240,7 +240,7 @@
   's/ && !answerArriving\(\)\)/)/' \
   ${U}platform '*whose answer is coming*'
 mutate answer-silence platform/Store.cpp \
-  's/Limits\{Timeout, Timeout_, MaxDuration_\}/Limits{Timeout, Timeout_, Timeout_}/' \
+  's/Limits\{Timeout, Timeout_, MaxBodyTime_\}/Limits{Timeout, Timeout_, Timeout_}/' \
   ${U}platform '*over a slow link*'
 mutate soonest-lapse $S/Process/Configuration/StoreFollower.cpp \
   's/ &&\s+Freshness_\.age\(SentAt\) >= Options_\.EarliestExpiry_\)/)/' \
--- a/UnitTests/platform/FakeStore.cpp
+++ b/UnitTests/platform/FakeStore.cpp
@@ -197,7 +197,7 @@
   std::uint64_t After = number(Request, "after");
   auto End = steady_clock::now() + milliseconds(number(Request, "wait-ms"));
   auto Restores = Restores_;
-  bool Deaf = false;
+  bool DropEvents = false;
   while (Restores == Restores_) {
     if (FailWith_ > 0)
       co_return jsonResponse(FailWith_, "{}");
@@ -217,9 +217,9 @@
       else if (Stored != Items_.end())
         Events.push_back(itemOf(Seen.Key_, Stored->second));
     }
-    Deaf = Deaf || DropWatchEvents_;
-    if ((!Events.empty() && !Deaf) || steady_clock::now() >= End) {
-      if (Deaf)
+    DropEvents = DropEvents || DropWatchEvents_;
+    if ((!Events.empty() && !DropEvents) || steady_clock::now() >= End) {
+      if (DropEvents)
         Events.clear();
       Json Body = {{"events", Events}, {"current-rev", Revision_}};
       co_return jsonResponse(200, Body.dump());
@@ -246,8 +246,8 @@
 }
 
 bool runUntil(asio::io_context &Context, const std::function<bool()> &Done) {
-  constexpr std::chrono::seconds Longest{10};
-  auto End = steady_clock::now() + Longest;
+  constexpr std::chrono::seconds MaxTime{10};
+  auto End = steady_clock::now() + MaxTime;
   Context.restart();
   while (!Done() && steady_clock::now() < End)
     Context.run_one_for(milliseconds(20));
--- a/UnitTests/platform/StoreTest.cpp
+++ b/UnitTests/platform/StoreTest.cpp
@@ -204,8 +204,7 @@
   CHECK_FALSE(Test.Hooks_.AnswerArriving_());
 }
 
-TEST_CASE(
-    "a response that keeps arriving ends at the limit for the whole call") {
+TEST_CASE("a response that keeps arriving ends at the limit for the response") {
   StoreFixture Test;
   constexpr std::size_t Large = 600000;
   Test.Store_.put("k", std::string(Large, 'v'));
