--- a/Source/Request/Lateness.h
+++ b/Source/Request/Lateness.h
@@ -1,7 +1,6 @@
 #pragma once
 /// \file
-/// Whether an answer met its route's objective and, if not, which part of the
-/// objective it missed.
+/// Whether an answer met its route's objective and, if not, the reason.
 
 #include "Version/Document.h"
 
--- a/Source/Request/WaitPlan.cpp
+++ b/Source/Request/WaitPlan.cpp
@@ -11,8 +11,8 @@
 
 /// Minimum time for which a route's longest stated timeout is remembered.
 constexpr std::chrono::seconds RememberTime{30};
-/// Number of routes at which all of them are forgotten, so that removed routes
-/// don't accumulate.
+/// Number of routes above which all of them are forgotten, so that removed
+/// routes don't accumulate.
 constexpr std::size_t MaxRoutes = 4096;
 /// A stated timeout that is shorter than the usual one by more than 1/5 is the
 /// remaining time of a retry. Smaller differences don't count, since the
--- a/Source/Request/WaitPlan.h
+++ b/Source/Request/WaitPlan.h
@@ -3,12 +3,13 @@
 /// How long a forwarded request may wait for a server, and the time of its
 /// objective. The current time is always an argument.
 ///
-/// Load can exceed the capacity several times for a few seconds. If requests of
-/// such a burst were queued for as long as their callers stay connected, nearly
-/// all of them would miss their objective or be given up. Refused early, with a
-/// Retry-After, callers retry after the burst. A first attempt therefore waits
-/// only while it can still meet its objective. A retry has missed it already
-/// and may wait for as long as its caller stays connected.
+/// Load comes in bursts of a few seconds that are far above the capacity. If
+/// the requests of such a burst were queued for as long as their callers stay
+/// connected, nearly all of them would miss their objective or be given up.
+/// Refused early, with a Retry-After, callers retry after the burst. A first
+/// attempt therefore waits only while it can still meet its objective. A retry
+/// has missed it already and may wait for as long as its caller stays
+/// connected.
 
 #include "Common/TimePoint.h"
 #include "Version/Document.h"
--- a/Source/Version/DocumentStore.h
+++ b/Source/Version/DocumentStore.h
@@ -73,8 +73,9 @@
   std::shared_ptr<const ConfigurationSnapshot> snapshot() const {
     return Current_.read();
   }
-  /// Sets a hook that is called after each adoption and each change of servers,
-  /// on the thread that made the change.
+  /// Sets a hook that is called after each adoption and each setServers() of an
+  /// active service, on the thread that made the change. It isn't called for
+  /// setLeavingAddresses().
   void onChanged(ChangedHook Hook) { Changed_ = std::move(Hook); }
 
 private:
--- a/UnitTests/Process/Membership/MembershipFleetTest.cpp
+++ b/UnitTests/Process/Membership/MembershipFleetTest.cpp
@@ -36,10 +36,10 @@
 }
 
 TEST_CASE("a slow daemon does not suspect one healthy daemon after the other") {
-  // Healthy daemons, keepers among them, would be suspected hundreds of times,
-  // and their cells would move, if a tenth of the VMs run at a fifth of their
-  // speed and are busy with other work: a daemon that reads answers late takes
-  // each missing answer for the failure of the other.
+  // Guards against hundreds of suspicions of healthy daemons, keepers among
+  // them, whose cells would move. A tenth of the VMs run at a fifth of their
+  // speed and are busy with other work. A daemon that reads answers late must
+  // not take each missing answer for a failure of the other daemon.
   SimulatedFleet Fleet(FleetSize, {});
   constexpr std::size_t Slow = FleetSize / 10;
   constexpr double SlowdownFactor = 5;
@@ -57,10 +57,10 @@
 }
 
 TEST_CASE("lost datagrams kill nobody") {
-  // Streams of live daemons would be cancelled, and their cells would move, at
-  // a datagram loss of five percent: a direct probe and the indirect ones fail,
-  // and the refutation does not arrive in time if a suspicion lasts as long in
-  // a fleet of hundreds as in one of ten.
+  // Guards against live daemons that are declared dead, so that their streams
+  // are cancelled and their cells move. Five percent of the datagrams are lost,
+  // and with them a direct probe and the indirect ones. If a suspicion lasted
+  // only as long as in a fleet of ten, the refutation would not arrive in time.
   SimulatedFleet::Options Options;
   Options.LossPercent_ = 5;
   SimulatedFleet Fleet(FleetSize, Options);
@@ -71,10 +71,10 @@
 }
 
 TEST_CASE("a death is known to all soon after it is detected") {
-  // Seconds after a keeper's death, some daemons would still send requests to
-  // it, if it dies some seconds after the start of a fleet of hundreds, and the
-  // members known since the start are gossiped before recent changes for
-  // minutes.
+  // Guards against daemons that still send requests to a keeper seconds after
+  // its death. It dies some seconds after the start of a fleet of hundreds. If
+  // the members known since the start were gossiped before recent changes, the
+  // death would not be sent for minutes.
   SimulatedFleet Fleet(FleetSize, {});
   Fleet.runFor(seconds(2));
   Fleet.kill(7);
@@ -108,9 +108,9 @@
 }
 
 TEST_CASE("after a partition all know that all are alive") {
-  // After a partition of ten seconds between two halves of a fleet, cells would
-  // have two keepers for a minute if only one of the members considered dead is
-  // probed per period.
+  // Guards against cells that have two keepers for a minute after a partition
+  // of ten seconds between two halves of a fleet. This would happen if only one
+  // of the members considered dead were probed per period.
   SimulatedFleet Fleet(FleetSize, {});
   Fleet.runFor(seconds(2));
   for (std::size_t Index = 0; Index < FleetSize / 2; ++Index)
--- a/UnitTests/Process/Membership/MembershipServiceTest.cpp
+++ b/UnitTests/Process/Membership/MembershipServiceTest.cpp
@@ -84,9 +84,9 @@
 } // namespace
 
 TEST_CASE("a pause of this process is not taken for the death of others") {
-  // A daemon that is suspended for a while, for instance because it gets no
-  // processor time beside a large configuration, would declare healthy daemons
-  // suspect and dead; their keepers would change, and requests would move. When
+  // Guards against a paused daemon that declares healthy daemons suspect and
+  // dead, so that keepers change and requests move. A daemon can go without
+  // processor time for a while, which was seen with a large configuration. When
   // it resumes, its timers are due before it has read the acks that arrived
   // meanwhile.
   boost::asio::io_context Control{1};
--- a/UnitTests/Request/ClaimStoreTest.cpp
+++ b/UnitTests/Request/ClaimStoreTest.cpp
@@ -17,8 +17,9 @@
 /// before or after it took effect.
 enum class CallResult { Success, LostBefore, LostAfter };
 
-/// A key-value service in memory. Each call takes the next result from a queue
-/// of scripted results; an empty queue means success.
+/// A key-value service in memory. Each read and each write takes the next
+/// result from its own queue of scripted results; an empty queue means success.
+/// Deletions always succeed.
 class FakePlatform {
 public:
   PlatformHooks hooks() {
--- a/UnitTests/Request/ModelCallTest.cpp
+++ b/UnitTests/Request/ModelCallTest.cpp
@@ -180,8 +180,9 @@
 
 TEST_CASE("a caller that leaves before the last event ends only its request") {
   // Guards against a segmentation fault when a caller disconnects after the
-  // engine's last event but before its own. The engine's connection has then
-  // been released for other requests, but was closed nevertheless.
+  // engine has sent its last event, but before the daemon has forwarded it. The
+  // engine's connection has then been released for other requests, and the call
+  // must not try to close it.
   ModelHarness Daemon({Word, std::string(FinalEvent)});
   FakeExchange Caller;
   Caller.AcceptChunk_ = [](const std::string &Data) {
@@ -194,8 +195,8 @@
 TEST_CASE("a cancellation after a fault does not access the ended request") {
   // Guards against a segmentation fault when an engine's event can't be parsed
   // and the keeper revokes the engine for a higher tier in the same event-loop
-  // iteration. The fault ends the request and destroys its connection, but the
-  // cancellation that was already posted still had the connection's address.
+  // iteration. The fault ends the request and destroys its connection. The
+  // cancellation may already be posted then, and must not use the connection.
   ModelHarness Daemon({R"({"choices":[],"model":5})", std::string(FinalEvent)});
   FakeExchange Caller;
   bool Aborted = false;
