--- a/Bench/SchedulerCost.cpp
+++ b/Bench/SchedulerCost.cpp
@@ -16,14 +16,14 @@
 constexpr int CustomerCount = 100;
 
 GrantRequest request(std::uint64_t Number, TimePoint Now) {
-  GrantRequest Asked;
-  Asked.Id_ = {1, Number};
-  Asked.Tier_ = TierIndex(static_cast<std::uint32_t>(Number % Tiers));
-  Asked.Customer_ = CustomerName(fmt::format("c{}", Number % CustomerCount));
-  Asked.Deadline_ = Now + std::chrono::hours(1);
-  Asked.Prompt_ = Tokens(100);
-  Asked.Answer_ = Tokens(100);
-  return Asked;
+  GrantRequest Built;
+  Built.Id_ = {1, Number};
+  Built.Tier_ = TierIndex(static_cast<std::uint32_t>(Number % Tiers));
+  Built.Customer_ = CustomerName(fmt::format("c{}", Number % CustomerCount));
+  Built.Deadline_ = Now + std::chrono::hours(1);
+  Built.Prompt_ = Tokens(100);
+  Built.Answer_ = Tokens(100);
+  return Built;
 }
 
 /// Each iteration ends one request, adds one, and grants one.
--- a/FailureTests/ObservationTest.cpp
+++ b/FailureTests/ObservationTest.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-/// Receives traces as OTLP/HTTP JSON and records the spanNames of their spans.
+/// Receives traces as OTLP/HTTP JSON and records the names of their spans.
 class Collector {
 public:
   Collector() : Guard_(boost::asio::make_work_guard(Context_)) {
--- a/FailureTests/platform/SoakFleet.h
+++ b/FailureTests/platform/SoakFleet.h
@@ -45,7 +45,7 @@
 
   SoakEnvironment &Environment_;
   pcg32 Random_;
-  /// A separate generator, so that \p RestoreCopies does not change the other
+  /// A separate generator, so that RestoreCopies_ does not change the other
   /// faults of a seed.
   pcg32 RestoreRandom_;
   bool RestoreCopies_;
--- a/FailureTests/platform/SoakTest.cpp
+++ b/FailureTests/platform/SoakTest.cpp
@@ -1,8 +1,8 @@
 /// \file
 /// A randomized soak test: real daemons run as separate processes on the
 /// platform's protocol, with successive and overlapping faults injected from
-/// outside. SOAK_SEEDS="1 2 3" selects seeds and SOAK_SECONDS=20 the runTime of
-/// each run; by default a few fixed seeds run for a short time.
+/// outside. SOAK_SEEDS="1 2 3" selects seeds and SOAK_SECONDS=20 the duration
+/// of each run; by default a few fixed seeds run for a short time.
 
 #include "FailureTests/platform/SoakEnvironment.h"
 #include "FailureTests/platform/SoakFleet.h"
@@ -24,8 +24,7 @@
 /// Seeds that exposed a fault, each with its cause.
 const std::vector<std::uint64_t> RegressionSeeds = {
     // A keeper that was paused still counted the finished requests of an
-    // ingress
-    // daemon as running.
+    // ingress daemon as running.
     1008,
 };
 
--- a/Source/Common/BootClock.h
+++ b/Source/Common/BootClock.h
@@ -15,6 +15,7 @@
   using period = duration::period;
   using time_point = std::chrono::time_point<BootClock>;
   // Names required by the standard.
+  // NOLINTNEXTLINE
   static constexpr bool is_steady = true;
   // NOLINTNEXTLINE
   static time_point now() {
--- a/Source/Connection/Http.h
+++ b/Source/Connection/Http.h
@@ -187,7 +187,7 @@
   std::chrono::milliseconds Body_;
 };
 
-/// Sends one request over a connection of its own. \p Coming, if set, is called
+/// Sends one request over a connection of its own. \p OnHead, if set, is called
 /// when the head of the response has been read.
 Awaitable<Result<HttpResponse>> httpCall(Endpoint Address, HttpRequest Request,
                                          HttpCallLimits Limits,
--- a/Source/Programs/OutcomeReport.cpp
+++ b/Source/Programs/OutcomeReport.cpp
@@ -19,7 +19,8 @@
 /// Further kinds are counted together, so that a flood of different names can't
 /// exhaust the memory.
 constexpr std::size_t MaxKinds = 200;
-constexpr std::size_t MaxMoments = 600;
+/// With more intervals than this, each is made twice as long.
+constexpr std::size_t MaxIntervals = 600;
 const std::string OtherKinds = "(others)";
 constexpr int BarWidth = 50;
 
@@ -190,15 +191,18 @@
 
 void OutcomeReport::countInInterval(double Seconds, RequestFate Fate,
                                     std::uint64_t Requests) {
-  auto Moment = [this](std::uint64_t At) { return At - At % IntervalSeconds_; };
-  ByInterval_[Moment(static_cast<std::uint64_t>(Seconds))][Fate] += Requests;
-  if (ByInterval_.size() <= MaxMoments)
+  auto IntervalStart = [this](std::uint64_t At) {
+    return At - At % IntervalSeconds_;
+  };
+  ByInterval_[IntervalStart(static_cast<std::uint64_t>(Seconds))][Fate] +=
+      Requests;
+  if (ByInterval_.size() <= MaxIntervals)
     return;
   IntervalSeconds_ *= 2;
   std::map<std::uint64_t, FateCounts> Coarser;
   for (const auto &[At, Counts] : ByInterval_)
     for (const auto &[Known, Count] : Counts)
-      Coarser[Moment(At)][Known] += Count;
+      Coarser[IntervalStart(At)][Known] += Count;
   ByInterval_ = std::move(Coarser);
 }
 
--- a/UnitTests/Connection/FrameChannelTest.cpp
+++ b/UnitTests/Connection/FrameChannelTest.cpp
@@ -74,12 +74,12 @@
       : Periods_{Heartbeat, milliseconds(70)} {
     Tcp::acceptor Acceptor(Context_, {asio::ip::make_address("127.0.0.1"), 0});
     Bare_.connect(Acceptor.local_endpoint());
-    FrameChannel::Hooks Reactions;
-    Reactions.Awaiting_ = [Awaiting] { return Awaiting; };
-    Reactions.Closed_ = [this] { Closed_ = true; };
-    Reactions.Received_ = [this](wire::EnvelopeT) { ++Received_; };
+    FrameChannel::Hooks Callbacks;
+    Callbacks.Awaiting_ = [Awaiting] { return Awaiting; };
+    Callbacks.Closed_ = [this] { Closed_ = true; };
+    Callbacks.Received_ = [this](wire::EnvelopeT) { ++Received_; };
     End_ =
-        FrameChannel::create(Acceptor.accept(), std::move(Reactions), Periods_);
+        FrameChannel::create(Acceptor.accept(), std::move(Callbacks), Periods_);
     Bare_.non_blocking(true);
   }
   ~OneEnd() { End_->close(); }
--- a/standins/Platform.cpp
+++ b/standins/Platform.cpp
@@ -43,7 +43,8 @@
   /// The number of following writes that take effect but are not
   /// answered.
   int LoseWriteAnswers_ = 0;
-  /// Watches return no changes.
+  /// Watches stay open beyond their time limit and are not answered, even when
+  /// there are changes.
   bool StallWatches_ = false;
   /// Reads return each key's value before its last write.
   bool StaleReads_ = false;
