--- a/Tools/capacity_engines.sh
+++ b/Tools/capacity_engines.sh
@@ -83,14 +83,14 @@
   await_ready "$(field vm-1 operators)"
   await_ready "$(field vm-2 operators)"
   sleep 2
-  for Entry in vm-1 vm-2; do
+  for Ingress in vm-1 vm-2; do
     Sent1=$(status vm-1 controlBytesSent)
     Sent2=$(status vm-2 controlBytesSent)
-    "$Standins/standin_callers" --targets="$(field $Entry callers)" \
+    "$Standins/standin_callers" --targets="$(field $Ingress callers)" \
       --host=capacity --key=one --mode=stream --model=m --count=1000 \
       --concurrency=16 --prompt_tokens="$1" --max_tokens=2 >/dev/null
     Sum=$(($(status vm-1 controlBytesSent) - Sent1 + $(status vm-2 controlBytesSent) - Sent2))
-    echo "| $1 | $Entry | $((Sum / 1000)) |"
+    echo "| $1 | $Ingress | $((Sum / 1000)) |"
   done
 )
 
@@ -100,7 +100,7 @@
   reports "$Count"
 done
 echo
-echo "| prompt tokens | entry (one of the two keeps the cell) | bytes between daemons a request |"
+echo "| prompt tokens | ingress daemon (one of the two schedules the cell) | bytes between daemons a request |"
 echo "|---|---|---|"
 for Tokens in 100 4000; do
   requests "$Tokens"
--- a/Tools/demo.sh
+++ b/Tools/demo.sh
@@ -102,4 +102,4 @@
 "$Standins/standin_checker" --calls="$Calls" --ledgers="$Ledgers"
 Answered=$(cat "$Work"/*.calls | grep -c '"outcome":"answered"')
 [ "$Answered" -eq 12 ] || { echo "only $Answered of 12 answered"; exit 1; }
-echo "demo: all 12 answers came, whole and once"
+echo "demo: all 12 answers arrived, each complete and only once"
