--- a/Source/Common/ThreadSanitizer.h
+++ b/Source/Common/ThreadSanitizer.h
@@ -13,7 +13,7 @@
 
 /// An object whose address identifies one happens-before relation.
 struct TsanMark {
-  char Address_ = 0;
+  char Byte_ = 0;
 };
 /// Everything this thread did before happens before whatever follows a
 /// tsanAcquire() of the same mark.
--- a/Source/Request/RetryBudget.cpp
+++ b/Source/Request/RetryBudget.cpp
@@ -28,9 +28,9 @@
                  static_cast<double>(std::max<std::size_t>(1, Daemons));
   double Allowed =
       UsedFraction * (Options_.Ratio_ * PoolCounts.Requests_.sum(Now) + Extra);
-  if (PoolCounts.RetryBudget_.sum(Now) + 1 > Allowed)
+  if (PoolCounts.Retries_.sum(Now) + 1 > Allowed)
     return false;
-  PoolCounts.RetryBudget_.add(Now);
+  PoolCounts.Retries_.add(Now);
   return true;
 }
 
--- a/Source/Request/RetryBudget.h
+++ b/Source/Request/RetryBudget.h
@@ -40,9 +40,9 @@
   static constexpr std::size_t Slots = 10;
   struct Counts {
     explicit Counts(std::chrono::milliseconds Window)
-        : Requests_(Window), RetryBudget_(Window) {}
+        : Requests_(Window), Retries_(Window) {}
     SlidingCount<Slots> Requests_;
-    SlidingCount<Slots> RetryBudget_;
+    SlidingCount<Slots> Retries_;
   };
   Counts &countsOf(const PoolName &Pool);
 
