--- a/Source/Process/Keeping/GrantClient.cpp
+++ b/Source/Process/Keeping/GrantClient.cpp
@@ -19,11 +19,11 @@
 
 namespace {
 
-/// How long a keeper is avoided that could not be reached or has no
-/// configuration.
+/// How long a keeper is avoided after it could not be reached, or answered that
+/// it has no configuration.
 constexpr milliseconds UnreachableBackoff{2000};
-/// How long a keeper is avoided whose answers were overdue: a VM that was slow
-/// for a second is likely to stay slow for a few more.
+/// How long a keeper is avoided after its answers were overdue: a VM that was
+/// slow for a second is likely to stay slow for a few more.
 constexpr milliseconds SlowBackoff{5000};
 /// How long an answer may take beyond the maximum wait of its request. A keeper
 /// answers within that wait; its queue checks every 10 ms and the network round
@@ -31,7 +31,8 @@
 constexpr milliseconds AnswerMargin{250};
 /// How often pending requests are checked for overdue answers.
 constexpr milliseconds CheckPeriod{100};
-/// If the check itself runs later than this, it is the local VM that is slow.
+/// If the check itself is delayed by more than this, it is the local VM that is
+/// slow, and no keeper is blamed.
 constexpr milliseconds MaxCheckDelay{50};
 
 } // namespace
--- a/Source/Process/Keeping/KeeperService.cpp
+++ b/Source/Process/Keeping/KeeperService.cpp
@@ -18,7 +18,7 @@
 /// rounds, however long the last round took. It is five times the tick interval
 /// of a keeper with waiting requests.
 constexpr milliseconds MaxRoundPause{50};
-/// The limit applies per result code.
+/// Maximum number of refusals logged each second for one result code.
 constexpr std::uint32_t MaxRefusalLogsPerSecond = 20;
 /// The minimum retry delay sent to callers of a customer that exceeds its
 /// allotment, because it usually exceeds it for a while.
@@ -139,13 +139,13 @@
         {Server->Name_, Server->MaxInFlight_ + Options_.AheadPerServer_, Active,
          Whole->CacheTokens_, Options_.AheadPerServer_, Server->Incarnation_});
   }
-  std::map<CustomerName, CustomerPolicy> Shares;
+  std::map<CustomerName, CustomerPolicy> Policies;
   for (const Customer &Known : Service->Document_->Customers_)
-    Shares[Known.Name_] = {Known.Weight_, Known.MaxInFlight_};
+    Policies[Known.Name_] = {Known.Weight_, Known.MaxInFlight_};
   auto TierCount =
       static_cast<std::uint32_t>(Service->Document_->Tiers_.size());
-  Target.Scheduler_.configure(std::move(Servers), std::move(Shares), TierCount,
-                              Whole->MaxWaiting_);
+  Target.Scheduler_.configure(std::move(Servers), std::move(Policies),
+                              TierCount, Whole->MaxWaiting_);
   Target.Scheduler_.setTokensPerEvent(Whole->TokensPerEvent_);
   // A minority partition uses only its share of the engines. A majority
   // partition uses all of them: if it scaled down as well, the minority's share
--- a/Source/Process/Scheduling/AllotmentLedger.cpp
+++ b/Source/Process/Scheduling/AllotmentLedger.cpp
@@ -20,8 +20,8 @@
 /// At most this fraction of a bucket is reserved for a higher tier. Reserving
 /// all of it would keep lower tiers out of an allotment that nobody else uses.
 constexpr double MaxReservedFraction = 0.5;
-/// Half-life of the largest recorded request. The very largest requests are as
-/// far apart as some ten windows' worth of large requests.
+/// Half-life of the largest recorded cost. Some ten windows' worth of large
+/// requests lie between two of the very largest.
 constexpr std::chrono::seconds LargestHalfLife{20};
 
 } // namespace
@@ -59,8 +59,8 @@
 std::optional<AllotmentLedger::Levels>
 AllotmentLedger::fit(const Levels &Left, double Cost, double Reserved,
                      const Flow &Regular, const Flow &Tolerance) {
-  auto Fits = [Cost, Reserved](double Level, double Most) {
-    return Level >= Cost + std::min(Reserved, MaxReservedFraction * Most);
+  auto Fits = [Cost, Reserved](double Level, double Capacity) {
+    return Level >= Cost + std::min(Reserved, MaxReservedFraction * Capacity);
   };
   if (Fits(Left.Allotted_, Regular.Capacity_))
     return Levels{Cost, 0};
@@ -98,8 +98,8 @@
   return true;
 }
 
-/// Decays the recorded largest cost of the highest tier and updates it with the
-/// request. \returns that cost.
+/// Decays the recorded largest cost of the highest tier, and raises it to that
+/// of the request if the request is of that tier. \returns the result.
 double AllotmentLedger::recordCost(Account &Target, const Charge &Request,
                                    std::chrono::duration<double> Elapsed) {
   double DecayFactor =
--- a/Source/Process/Scheduling/Scheduler.h
+++ b/Source/Process/Scheduling/Scheduler.h
@@ -124,8 +124,9 @@
     /// Refuse requests immediately when their predicted wait exceeds their
     /// maximum wait.
     bool RefuseLongWaits_ = false;
-    /// The first event is expected within this fraction of the time left to the
-    /// objective, where an engine that is not among the fastest is chosen.
+    /// An engine that is not among the fastest is preferred only if it is
+    /// expected to give the first event within this fraction of the time left
+    /// to the objective.
     double FirstEventFraction_ = 0.5;
     /// Send prompts only to engines where the pauses of all streams stay within
     /// what is allowed.
--- a/Source/Process/Scheduling/SchedulerAdmission.cpp
+++ b/Source/Process/Scheduling/SchedulerAdmission.cpp
@@ -80,9 +80,11 @@
   return std::max(Ends - HigherAdmitted, MinRateFraction * Ends);
 }
 
-/// \returns the predicted wait of a request of \p Tier: the number of requests
-/// ahead of it, divided by the rate of slots for the tier. If that is shorter,
-/// it is the wait in the tier's own queue at the tier's guaranteed rate.
+/// \returns the predicted wait of a request of \p Tier, as the shorter of two:
+/// the number of requests ahead of it, divided by the rate of slots for the
+/// tier; and the number of those in its own tier, divided by the tier's
+/// guaranteed rate. 0 while too little is known. \p Late tells whether the
+/// request has missed its objective.
 ///
 /// Requests that have missed their objective are served after the others and
 /// are not counted for them. Otherwise callers that retry too late would cause
@@ -215,8 +217,8 @@
 /// fraction of that of their whole tier. It rises slightly with each length
 /// class. Callers' estimates are off by half, so the answers that really are
 /// the longest are spread over two classes and served less often than either. A
-/// much higher rate would cost too many short answers, many of which fit in the
-/// place of a single long one.
+/// much higher rate would cost too many short answers, many of which can be
+/// served in the time of a single long one.
 double Scheduler::minGrantedFraction(LengthClass Length) {
   constexpr double BaseFraction = 0.55;
   constexpr double FractionPerClass = 0.02;
--- a/Source/Process/Scheduling/SchedulerPlacement.cpp
+++ b/Source/Process/Scheduling/SchedulerPlacement.cpp
@@ -234,11 +234,11 @@
   auto Best = PrefixState::NotCached;
   bool HasTime = false;
   for (const auto &[Name, Server] : Servers_) {
-    auto Place =
+    auto State =
         Server.usable() ? Server.prefixState(Prefix) : PrefixState::NotCached;
-    if (Place == PrefixState::NotCached || Place < Best)
+    if (State == PrefixState::NotCached || State < Best)
       continue;
-    Best = Place;
+    Best = State;
     auto Service = withMargin(expectedService(Request, Server));
     HasTime |= Now + Service + Options_.PreemptMargin_ < Request.Deadline_;
   }
--- a/Source/Process/Scheduling/ServerHealth.cpp
+++ b/Source/Process/Scheduling/ServerHealth.cpp
@@ -8,15 +8,15 @@
 
 /// Weight of the newest request in the failure rate: about the last ten count.
 constexpr double NewestWeight = 0.12;
-/// A failure rate up to this never excludes an engine, however low that of the
-/// pool is.
+/// A failure rate up to this excludes no engine, however low that of the pool
+/// is, unless the engine is on trial: then any failure excludes it again.
 constexpr double MinFailureRate = 0.3;
 /// How far an engine's failure rate must exceed that of the pool. Some requests
 /// fail for reasons of their own, equally at every engine.
 constexpr double MinExcessOverPool = 0.22;
 /// A single connection may be lost to the network; two in a row point to the
 /// engine.
-constexpr int MaxUnreachable = 2;
+constexpr int UnreachableToExclude = 2;
 constexpr std::chrono::milliseconds FirstExclusion{1000};
 constexpr int MaxDoublings = 2;
 
@@ -40,7 +40,7 @@
 }
 
 void ServerHealth::unreachable(TimePoint Now) {
-  if (++Unreachable_ >= MaxUnreachable || OnTrial_)
+  if (++Unreachable_ >= UnreachableToExclude || OnTrial_)
     leaveOut(Now);
 }
 
--- a/Source/Process/Scheduling/ServerModel.h
+++ b/Source/Process/Scheduling/ServerModel.h
@@ -26,8 +26,8 @@
   bool Active_ = true;
   /// Number of tokens that the engine's cache holds; 0 means unknown.
   Tokens CacheTokens_{0};
-  /// The number of requests of MaxInFlight_ that are queued inside the engine
-  /// until a slot is free.
+  /// How many of MaxInFlight_ requests may be queued inside the engine until a
+  /// slot is free. The others are the engine's slots.
   std::uint32_t QueuedInEngine_ = 0;
   /// The engine's current process; 0 means unknown.
   Incarnation Incarnation_;
@@ -126,9 +126,10 @@
   std::chrono::nanoseconds
   expectedFirstToken(Tokens Prompt,
                      std::span<const std::uint64_t> Prefix) const;
-  /// Expected cost of reading a prompt that is not cached: the reading time,
-  /// and as much again for each time that work has to be repeated because this
-  /// prompt evicts another one's blocks from a full cache.
+  /// Expected cost of evicting another prompt's blocks from a full cache: the
+  /// time for reading the uncached part of this prompt, for each time that
+  /// evicted work is expected to be repeated. 0 while the cache is not full,
+  /// and for prompts with few shared blocks.
   std::chrono::nanoseconds
   evictionCost(Tokens Prompt, std::span<const std::uint64_t> Prefix) const;
   /// Expected time between tokens; 0 while unknown.
--- a/UnitTests/Process/Keeping/KeeperServiceTest.cpp
+++ b/UnitTests/Process/Keeping/KeeperServiceTest.cpp
@@ -27,16 +27,17 @@
       : Keeper_(Control_, withOneEngine(Documents_), options(), hooks()) {}
 
   void requestGrant(std::uint64_t Number, const CellId &Target = Cell) {
-    Keeper_.requestGrant(Target, asked(Number));
+    Keeper_.requestGrant(Target, makeRequest(Number));
     settle();
   }
-  static GrantRequest asked(std::uint64_t Number) {
-    GrantRequest Asked;
-    Asked.Id_ = {1, Number};
-    Asked.Customer_ = CustomerName("c");
-    Asked.Deadline_ = std::chrono::steady_clock::now() + std::chrono::hours(1);
-    Asked.Ingress_ = Ingress;
-    return Asked;
+  static GrantRequest makeRequest(std::uint64_t Number) {
+    GrantRequest Request;
+    Request.Id_ = {1, Number};
+    Request.Customer_ = CustomerName("c");
+    Request.Deadline_ =
+        std::chrono::steady_clock::now() + std::chrono::hours(1);
+    Request.Ingress_ = Ingress;
+    return Request;
   }
   /// Runs all posted handlers.
   void settle() {
@@ -46,8 +47,8 @@
   bool granted(std::uint64_t Number) const {
     return std::ranges::count(Granted_, RequestId{1, Number}) > 0;
   }
-  /// Returns how many decisions and orphans were reported to hooks during
-  /// \p Call, and by the handlers posted until then.
+  /// Returns the number of decisions and orphans reported to the hooks during
+  /// \p Call, and the number reported afterwards by the posted handlers.
   std::pair<int, int>
   notificationsDuringAndAfter(const std::function<void()> &Call) {
     int Before = Notifications_;
@@ -71,8 +72,9 @@
   KeeperService Keeper_;
 
 private:
-  /// Without pauses between rounds, since the duration of a round differs from
-  /// run to run.
+  /// Disables the pauses between rounds, because their length would differ from
+  /// run to run, and releases the slots of a disconnected ingress daemon at the
+  /// next tick.
   static KeeperService::Options options() {
     KeeperService::Options Options;
     Options.RoundPauseFactor_ = 0;
@@ -179,7 +181,7 @@
   KeeperService &Keeper = Daemon.Keeper_;
   Daemon.requestGrant(1);
   REQUIRE(Daemon.granted(1));
-  GrantRequest Waiting = OneEngineKeeper::asked(2);
+  GrantRequest Waiting = OneEngineKeeper::makeRequest(2);
   Waiting.Ingress_ = VmId("other");
   Waiting.Tier_ = TierIndex(1);
   Keeper.requestGrant(Cell, Waiting);
@@ -189,7 +191,7 @@
   SUBCASE("a grant request") {
     Decide = [&] {
       Keeper.requestGrant({ServiceName("unknown"), ThePool, 0},
-                          OneEngineKeeper::asked(3));
+                          OneEngineKeeper::makeRequest(3));
     };
   }
   SUBCASE("a withdrawal") {
@@ -225,7 +227,7 @@
   // If the grant were delivered although its slot was granted to another
   // request meanwhile, two requests would share one slot of an engine.
   OneEngineKeeper Daemon;
-  Daemon.Keeper_.requestGrant(Cell, OneEngineKeeper::asked(1));
+  Daemon.Keeper_.requestGrant(Cell, OneEngineKeeper::makeRequest(1));
   SUBCASE("its request is withdrawn") { Daemon.Keeper_.withdraw(Cell, {1, 1}); }
   SUBCASE("its ingress daemon has a new link") {
     Daemon.Keeper_.ingressReconnected(Ingress);
@@ -238,28 +240,28 @@
 TEST_CASE("a grant that is taken back before it is told uses no allotment") {
   OneEngineKeeper Daemon;
   Daemon.Keeper_.refresh();
-  GrantRequest Asked = OneEngineKeeper::asked(0);
-  Asked.Customer_ = CustomerName("limited");
+  GrantRequest Request = OneEngineKeeper::makeRequest(0);
+  Request.Customer_ = CustomerName("limited");
   auto Granted = [&] {
-    return Daemon.Keeper_.scheduler(Cell)->findRunning(Asked.Id_).has_value();
+    return Daemon.Keeper_.scheduler(Cell)->findRunning(Request.Id_).has_value();
   };
   // The allotment is initially empty, and fills within a tenth of a second.
   auto End = std::chrono::steady_clock::now() + std::chrono::seconds(10);
   while (!Granted() && std::chrono::steady_clock::now() < End) {
     Daemon.settle();
-    ++Asked.Id_.Sequence_;
-    Daemon.Keeper_.requestGrant(Cell, Asked);
+    ++Request.Id_.Sequence_;
+    Daemon.Keeper_.requestGrant(Cell, Request);
   }
   REQUIRE(Granted());
   SUBCASE("its request is withdrawn") {
-    Daemon.Keeper_.withdraw(Cell, Asked.Id_);
+    Daemon.Keeper_.withdraw(Cell, Request.Id_);
   }
   SUBCASE("its ingress daemon has a new link") {
     Daemon.Keeper_.ingressReconnected(Ingress);
   }
   Daemon.settle();
-  ++Asked.Id_.Sequence_;
-  Daemon.Keeper_.requestGrant(Cell, Asked);
+  ++Request.Id_.Sequence_;
+  Daemon.Keeper_.requestGrant(Cell, Request);
   CHECK(Granted());
 }
 
@@ -267,15 +269,15 @@
   OneEngineKeeper Daemon;
   auto Begin = std::chrono::steady_clock::now();
   Daemon.Keeper_.refresh();
-  GrantRequest Asked = OneEngineKeeper::asked(0);
-  Asked.Customer_ = CustomerName("limited");
+  GrantRequest Request = OneEngineKeeper::makeRequest(0);
+  Request.Customer_ = CustomerName("limited");
   std::chrono::duration<double> Elapsed{0};
   constexpr std::chrono::milliseconds TimeOfThree{300};
   while (Daemon.Granted_.empty() || Elapsed < TimeOfThree) {
-    ++Asked.Id_.Sequence_;
-    Daemon.Keeper_.requestGrant(Cell, Asked);
+    ++Request.Id_.Sequence_;
+    Daemon.Keeper_.requestGrant(Cell, Request);
     Daemon.settle();
-    Daemon.Keeper_.withdraw(Cell, Asked.Id_);
+    Daemon.Keeper_.withdraw(Cell, Request.Id_);
     Elapsed = std::chrono::steady_clock::now() - Begin;
   }
   auto Max = Allowed.Burst_ + Allowed.PerSecond_ * Elapsed.count();
@@ -287,12 +289,12 @@
 const VmId OtherIngress("other-entry");
 
 void askFrom(OneEngineKeeper &Keeper, const VmId &From, std::uint64_t Number) {
-  GrantRequest Asked;
-  Asked.Id_ = {1, Number};
-  Asked.Customer_ = CustomerName("c");
-  Asked.Deadline_ = std::chrono::steady_clock::now() + std::chrono::hours(1);
-  Asked.Ingress_ = From;
-  Keeper.Keeper_.requestGrant(Cell, std::move(Asked));
+  GrantRequest Request;
+  Request.Id_ = {1, Number};
+  Request.Customer_ = CustomerName("c");
+  Request.Deadline_ = std::chrono::steady_clock::now() + std::chrono::hours(1);
+  Request.Ingress_ = From;
+  Keeper.Keeper_.requestGrant(Cell, std::move(Request));
   Keeper.Control_.poll();
 }
 
--- a/UnitTests/Process/Scheduling/SchedulerAdmissionTest.cpp
+++ b/UnitTests/Process/Scheduling/SchedulerAdmissionTest.cpp
@@ -35,8 +35,8 @@
   milliseconds Objective_{500};
   milliseconds MaxWait_{2000};
   int Attempts_ = 1; ///< Requests that each caller sends at once.
-  /// How long a caller waits that retries once when it is refused; 0 means that
-  /// it does not retry.
+  /// The time after its first attempt until which a caller accepts an answer.
+  /// Such a caller retries once when it is refused; with 0 it does not retry.
   milliseconds Patience_{0};
 };
 
@@ -88,10 +88,10 @@
     for (int Number = 0; Number < Each.Attempts_; ++Number)
       submitOnce(Each, Number > 0);
   }
-  void submitOnce(const Kind &Each, bool AskedBefore) {
+  void submitOnce(const Kind &Each, bool IsRetry) {
     GrantRequest Request;
     Request.Id_ = {1, ++Sequence_};
-    Request.IsRetry_ = AskedBefore;
+    Request.IsRetry_ = IsRetry;
     Request.Tier_ = TierIndex(Each.Tier_);
     Request.Customer_ = CustomerName("c");
     Request.Deadline_ = Now_ + milliseconds(15000);
@@ -151,10 +151,10 @@
   }
   void endDue() {
     while (!Ends_.empty() && Ends_.begin()->first <= Now_) {
-      ServedSample Seen;
-      Seen.Reached_ = true;
-      Seen.Complete_ = true;
-      Scheduler_.done(Ends_.begin()->second, Seen, Now_);
+      ServedSample Sample;
+      Sample.Reached_ = true;
+      Sample.Complete_ = true;
+      Scheduler_.done(Ends_.begin()->second, Sample, Now_);
       Ends_.erase(Ends_.begin());
     }
   }
@@ -335,10 +335,10 @@
   Request.Deadline_ = Start + milliseconds(1000);
   Target.requestGrant(Request, Start);
   REQUIRE(Target.decide(Start).size() == 1);
-  ServedSample Seen;
-  Seen.Reached_ = true;
-  Seen.Replaced_ = true;
-  Target.done(Request.Id_, Seen, Start);
+  ServedSample Sample;
+  Sample.Reached_ = true;
+  Sample.Replaced_ = true;
+  Target.done(Request.Id_, Sample, Start);
   Request.Id_ = {1, 2};
   auto Decisions = Target.requestGrant(Request, Start);
   REQUIRE(Decisions.size() == 1);
@@ -364,11 +364,11 @@
     const auto &Grant = std::get<GrantDecision>(Decisions.front());
     bool Bad = Grant.Server_ == ServerName("bad");
     ToBad += Bad;
-    ServedSample Seen;
-    Seen.Reached_ = true;
-    Seen.Complete_ = !Bad;
-    Seen.Faulty_ = Bad;
-    Target.done(Request.Id_, Seen, Now);
+    ServedSample Sample;
+    Sample.Reached_ = true;
+    Sample.Complete_ = !Bad;
+    Sample.Faulty_ = Bad;
+    Target.done(Request.Id_, Sample, Now);
   }
   CHECK(ToBad < 20);
 }
--- a/UnitTests/Process/Scheduling/SchedulerPlacementTest.cpp
+++ b/UnitTests/Process/Scheduling/SchedulerPlacementTest.cpp
@@ -89,8 +89,8 @@
     auto End = Now_ + Length;
     for (; Now_ < End; Now_ += milliseconds(1)) {
       for (auto &[Name, Engine] : Engines_)
-        for (const FakeEngine::Event &Seen : Engine.step(Now_))
-          onEvent(Seen);
+        for (const FakeEngine::Event &Event : Engine.step(Now_))
+          onEvent(Event);
       for (const Kind &Each : Kinds)
         if (uniform() < Each.PerSecond_ / 1000)
           submit(Each);
@@ -162,11 +162,11 @@
       }
   }
 
-  void onEvent(const FakeEngine::Event &Seen) {
-    SentRequest &Sent = Sent_.at(Seen.Id_);
-    if (Seen.Kind_ == FakeEngine::Event::Kind::FirstToken) {
-      Scheduler_.firstToken(Seen.Id_,
-                            {duration_cast<microseconds>(Now_ - Seen.Sent_)});
+  void onEvent(const FakeEngine::Event &Event) {
+    SentRequest &Sent = Sent_.at(Event.Id_);
+    if (Event.Kind_ == FakeEngine::Event::Kind::FirstToken) {
+      Scheduler_.firstToken(Event.Id_,
+                            {duration_cast<microseconds>(Now_ - Event.Sent_)});
       return;
     }
     Sent.Ended_ = Sent.Answered_ = true;
@@ -176,13 +176,13 @@
     Sample.Generated_ = Sent.Tokens_;
     Sample.FirstEventTokens_ = Tokens(TokensPerEvent);
     Sample.FirstToken_ =
-        duration_cast<microseconds>(Seen.FirstToken_ - Seen.Sent_);
-    Sample.Duration_ = duration_cast<microseconds>(Now_ - Seen.Sent_);
-    Scheduler_.done(Seen.Id_, Sample, Now_);
+        duration_cast<microseconds>(Event.FirstToken_ - Event.Sent_);
+    Sample.Duration_ = duration_cast<microseconds>(Now_ - Event.Sent_);
+    Scheduler_.done(Event.Id_, Sample, Now_);
     bool Paused = Sent.Kind_.MaxPause_.count() > 0 &&
-                  Seen.LongestPause_ > Sent.Kind_.MaxPause_;
+                  Event.LongestPause_ > Sent.Kind_.MaxPause_;
     bool InTime =
-        !Paused && Seen.FirstToken_ <= Sent.At_ + Sent.Kind_.Objective_;
+        !Paused && Event.FirstToken_ <= Sent.At_ + Sent.Kind_.Objective_;
     Served &Count = Served_[Sent.Kind_.Tier_];
     ++(InTime ? Count.InTime_ : Count.ObjectiveMissed_);
     Count.LongServed_ += Sent.Tokens_.count() >= LongTokens ? 1 : 0;
