--- a/Source/Process/Keeping/KeeperService.cpp
+++ b/Source/Process/Keeping/KeeperService.cpp
@@ -435,10 +435,10 @@
 
 std::vector<RunningRequest> KeeperService::removeIngress(ScheduledCell &Target,
                                                          const VmId &Ingress) {
-  RemovedRequests Left = Target.Scheduler_.removeIngressRequests(Ingress);
-  for (const RequestId &Id : Left.Waiting_)
+  RemovedRequests Removed = Target.Scheduler_.removeIngressRequests(Ingress);
+  for (const RequestId &Id : Removed.Waiting_)
     Allotments_.refund(Id);
-  return std::move(Left.Running_);
+  return std::move(Removed.Running_);
 }
 
 void KeeperService::ingressDied(const VmId &Ingress) {
--- a/Source/Process/Scheduling/Scheduler.h
+++ b/Source/Process/Scheduling/Scheduler.h
@@ -376,7 +376,7 @@
   double slotRate(TierIndex Tier, TimePoint Now);
   bool isStarving(TierQueue &Tier, TimePoint Now);
   double grantedFractionOfAll(TimePoint Now);
-  std::chrono::milliseconds predictedWait(TierIndex Tier, bool Late,
+  std::chrono::milliseconds predictedWait(TierIndex Tier, bool ObjectiveMissed,
                                           TimePoint Now);
   bool wouldWaitTooLong(const GrantRequest &Request, const QueueRank &Rank,
                         TimePoint Now);
--- a/Source/Process/Scheduling/SchedulerAdmission.cpp
+++ b/Source/Process/Scheduling/SchedulerAdmission.cpp
@@ -83,18 +83,18 @@
 /// \returns the predicted wait of a request of \p Tier, as the shorter of two:
 /// the number of requests ahead of it, divided by the rate of slots for the
 /// tier; and the number of those in its own tier, divided by the tier's
-/// guaranteed rate. 0 while too little is known. \p Late tells whether the
-/// request has missed its objective.
+/// guaranteed rate. 0 while too little is known. \p ObjectiveMissed tells
+/// whether the request has missed its objective.
 ///
 /// Requests that have missed their objective are served after the others and
 /// are not counted for them. Otherwise callers that retry too late would cause
 /// the refusal of callers that could still be served in time, who would then
 /// retry too late themselves.
-milliseconds Scheduler::predictedWait(TierIndex Tier, bool Late,
+milliseconds Scheduler::predictedWait(TierIndex Tier, bool ObjectiveMissed,
                                       TimePoint Now) {
   std::size_t Own = queueIndex(Tier);
   std::size_t OwnAhead = Tiers_[Own].Count_;
-  if (!Late && Options_.CountMissedSeparately_)
+  if (!ObjectiveMissed && Options_.CountMissedSeparately_)
     OwnAhead -= Tiers_[Own].ObjectiveMissedCount_;
   auto Ahead = static_cast<double>(OwnAhead);
   for (const TierQueue &Queue : std::span(Tiers_).first(Own))
--- a/UnitTests/Process/Scheduling/SchedulerPlacementTest.cpp
+++ b/UnitTests/Process/Scheduling/SchedulerPlacementTest.cpp
@@ -290,11 +290,11 @@
   const std::vector<Kind> Kinds{
       {0, 14, 4000, 0.7, 60, 0.8, milliseconds(600), Pause},
       {1, 22, 400, 0.8, 120, 0.8, milliseconds(400), Pause}};
-  auto InTime = [&](bool KeepPauses) {
+  auto InTime = [&](bool LimitPauses) {
     int Sum = 0;
     for (std::uint64_t Seed = 1; Seed <= 5; ++Seed) {
       auto Options = byObjective();
-      Options.LimitPauses_ = KeepPauses;
+      Options.LimitPauses_ = LimitPauses;
       Replay Load(Options, 4, 8, Seed);
       Load.run(milliseconds(5000), Kinds);
       Load.resetCounts();
