--- a/Source/Process/Scheduling/ServerModel.cpp
+++ b/Source/Process/Scheduling/ServerModel.cpp
@@ -100,7 +100,7 @@
 }
 
 std::uint32_t ServerModel::slots() const {
-  return std::max(1U, Limit_ - std::min(Limit_, Capacity_.QueuedInEngine_));
+  return std::max(1U, Limit_ - std::min(Limit_, Capacity_.MaxQueuedInEngine_));
 }
 
 nanoseconds ServerModel::waitForSlot() const {
--- a/Source/Process/Scheduling/ServerModel.h
+++ b/Source/Process/Scheduling/ServerModel.h
@@ -28,7 +28,7 @@
   Tokens CacheTokens_{0};
   /// How many of MaxInFlight_ requests may be queued inside the engine until a
   /// slot is free. The others are the engine's slots.
-  std::uint32_t QueuedInEngine_ = 0;
+  std::uint32_t MaxQueuedInEngine_ = 0;
   /// The engine's current process; 0 means unknown.
   Incarnation Incarnation_;
 };
--- a/UnitTests/Process/Scheduling/SchedulerPlacementTest.cpp
+++ b/UnitTests/Process/Scheduling/SchedulerPlacementTest.cpp
@@ -252,7 +252,7 @@
     HighTierInTime += Load.served(0).InTime_;
     LowTierInTime += Load.served(2).InTime_;
   }
-  // Measured: 541 missed their objective; 9121 and 4364 met it. Without these
+  // Measured: 541 missed their objective; 9121 and 4364 met it. Before these
   // rules: 1035, 9033 and 3752.
   CHECK(ObjectiveMissed < 700);
   CHECK(HighTierInTime > 9060);
